--- a/src/include/rillwall/backoff.h
+++ b/src/include/rillwall/backoff.h
@@ -14,7 +14,7 @@
 /// \param aFailures failures in a row, 1 or more
 /// \return the pause before the next try: aBase after the first failure, twice
 /// as long after each further one, aMost at most
-Millis FailurePause(int aFailures, Millis aBase, Millis aMost);
+Millis BackoffDelay(int aFailures, Millis aBase, Millis aMost);
 
 /// Draws pauses, so that nodes that failed together do not try again together.
 class Jitter {
@@ -23,9 +23,9 @@
   explicit Jitter(uint64_t aSeed)
       : mRandom(static_cast<std::minstd_rand::result_type>(aSeed)) {}
   /// \return between half and all of a span
-  Millis HalfToAll(Millis aSpan);
+  Millis EqualJitter(Millis aSpan);
   /// \return between nothing and all of a span
-  Millis UpTo(Millis aSpan);
+  Millis FullJitter(Millis aSpan);
 
  private:
   std::minstd_rand mRandom;
--- a/src/include/rillwall/call_attempts.h
+++ b/src/include/rillwall/call_attempts.h
@@ -12,7 +12,7 @@
 namespace rillwall {
 
 /// How one try at a replica ended.
-enum class TryEnd {
+enum class TryOutcome {
   Answered,  ///< a whole answer came, or the head of a stream
   Refused,   ///< the replica said that it did not run the request
   NotSent,   ///< no byte of the request can have reached the replica
@@ -34,9 +34,9 @@
 
   /// \param aStatus of an answer, else 0
   /// \return what to do next
-  CallStep Take(TryEnd aEnd, int aStatus);
+  CallStep RecordTry(TryOutcome aEnd, int aStatus);
   /// \return whether a try may be cut short in favour of another replica
-  bool MayMoveOn() const;
+  bool MayAbandonTry() const;
   /// \return whether a replica may have run the request
   RunState Run() const {
     return mRan > 0 ? RunState::Unknown : RunState::NotRun;
--- a/src/include/rillwall/client_accounts.h
+++ b/src/include/rillwall/client_accounts.h
@@ -53,7 +53,7 @@
   /// \return the account of a key, or null if no account has it
   const ClientAccount* Find(std::string_view aKey) const;
   /// \return the account of a name, or null if there is none
-  const ClientAccount* Named(std::string_view aName) const;
+  const ClientAccount* FindByName(std::string_view aName) const;
   bool operator==(const AccountTable& aOther) const {
     return mRequired == aOther.mRequired && mAccounts == aOther.mAccounts;
   }
--- a/src/include/rillwall/cold_share.h
+++ b/src/include/rillwall/cold_share.h
@@ -32,7 +32,7 @@
   /// \param aTakesClients else it sends the texts and scores of steps
   void SetHost(std::string aHost, bool aTakesClients);
   /// \param aHosts that take clients; 0: unknown, many are assumed
-  void SetHosts(size_t aHosts);
+  void SetHostCount(size_t aHosts);
   /// \param aRate requests a second that a cold replica takes from all hosts
   /// \return requests that this host may send to it within any second
   int64_t PerSecond(const std::string& aReplica, double aRate) const;
--- a/src/include/rillwall/crash_table.h
+++ b/src/include/rillwall/crash_table.h
@@ -13,12 +13,12 @@
 ///
 /// Blame. All requests that ran at a replica when it ended are suspects, the
 /// innocent ones too. A suspect is run on; the first whole answer to it, at any
-/// host, clears it. One that has kReplicasToHold records not cleared is held:
+/// host, clears it. One that has kCrashesToHold records not cleared is held:
 /// no host runs it. While that news is on its way, hosts that have not heard it
 /// may still send; an innocent one is held only if three replicas ended under
 /// it in a row, without an answer in between.
 ///
-/// Bounded. A record is forgotten kRememberFor after it was made, so that a
+/// Bounded. A record is forgotten kRecordLifetime after it was made, so that a
 /// request that is held may be run again then; it costs three more replicas if
 /// nothing has changed. Beyond kMaxRecords the cleared ones go first, then
 /// those of requests with the fewest records, the oldest of them first:
@@ -48,10 +48,10 @@
 /// A replica ended while it ran a request.
 struct CrashRecord {
   RequestDigest mRequest;
-  std::string mReplica;   ///< one start of it
-  int64_t mAtMs = 0;      ///< ms since 1970, by the host that saw it
-  bool mCleared = false;  ///< the request has been answered since
-  std::string mWhat;      ///< method, host and path, for operators
+  std::string mReplica;      ///< one start of it
+  int64_t mAtMs = 0;         ///< ms since 1970, by the host that saw it
+  bool mCleared = false;     ///< the request has been answered since
+  std::string mDescription;  ///< method, host and path, for operators
   bool operator==(const CrashRecord&) const = default;
 };
 
@@ -68,22 +68,22 @@
   /// runs beside a request that crashes is held too: in three soaks all of one
   /// kind of plain requests. With two and with three it was some texts, and no
   /// plain request; three is the most that a request may end.
-  static constexpr size_t kReplicasToHold = 3;
+  static constexpr size_t kCrashesToHold = 3;
   /// With so many, a request is not tried at another replica within the same
   /// attempt: a third one would more likely end than answer.
-  static constexpr size_t kReplicasToPause = 2;
+  static constexpr size_t kCrashesToStopRetries = 2;
   /// How long a record counts: far over the time in which callers repeat what
   /// failed, and short enough that a mistake ends by itself.
-  static constexpr Millis kRememberFor{3600000};
+  static constexpr Millis kRecordLifetime{3600000};
   /// Some 200 bytes each, a small part of the smallest host's 88 MB.
   static constexpr size_t kMaxRecords = 1024;
 
   /// Called when this host has made or cleared records.
-  std::function<void()> mOnOwnNews;
+  std::function<void()> mOnLocalChange;
 
   /// A replica ended under a request here.
   /// \return whether that is news
-  bool Blame(CrashRecord aRecord);
+  bool AddCrash(CrashRecord aRecord);
   /// A request has been answered here, or an operator knows better.
   /// \return how many records were cleared by that
   size_t Clear(const RequestDigest& aRequest);
@@ -94,12 +94,12 @@
   void Forget(int64_t aNowMs);
 
   /// \return whether there is any record that is not cleared
-  bool AnySuspect() const { return mSuspects > 0; }
+  bool HasSuspects() const { return mSuspects > 0; }
   /// \return replicas that ended under a request since it was answered last
   size_t Crashes(const RequestDigest& aRequest) const;
   /// \return whether a request is not to be run
   bool Held(const RequestDigest& aRequest) const {
-    return Crashes(aRequest) >= kReplicasToHold;
+    return Crashes(aRequest) >= kCrashesToHold;
   }
   /// \return how long a request is still held; 0 if it is not
   Millis HeldFor(const RequestDigest& aRequest, int64_t aNowMs) const;
@@ -113,7 +113,7 @@
   /// \return whether some of them are not marks that records are cleared
   bool UnsavedIsUrgent() const;
   /// These are in the store, as they were given out.
-  void Saved(const std::vector<CrashRecord>& aRecords);
+  void MarkSaved(const std::vector<CrashRecord>& aRecords);
   /// \return all requests with records that are not cleared
   std::vector<Suspect> Suspects() const;
   size_t Size() const { return mRecords.size(); }
--- a/src/include/rillwall/home_regions.h
+++ b/src/include/rillwall/home_regions.h
@@ -39,15 +39,15 @@
 
 /// What an operator should know of a configuration that is in force although
 /// parts of it can't serve anybody.
-struct ConfigDoubt {
+struct ConfigWarning {
   std::string mField;
-  std::string mWhy;  ///< with the remedy
-  bool operator==(const ConfigDoubt&) const = default;
+  std::string mReason;  ///< with the remedy
+  bool operator==(const ConfigWarning&) const = default;
 };
 
 /// \return regions that no zone has, routes that no region may serve, rates of
 /// cold replicas that let none through
-std::vector<ConfigDoubt> DoubtsOf(const RouteTable& aTable,
-                                  const RegionMap& aMap);
+std::vector<ConfigWarning> ConfigWarnings(const RouteTable& aTable,
+                                          const RegionMap& aMap);
 
 }  // namespace rillwall
--- a/src/include/rillwall/listing_plan.h
+++ b/src/include/rillwall/listing_plan.h
@@ -16,14 +16,14 @@
 /// What the plan looks at.
 struct ListingState {
   bool mAllEnded = false;       ///< nothing of the step is left to do
-  bool mReached = false;        ///< the trainer has what it waits for
-  bool mReachedListed = false;  ///< that was so at the last write
-  Millis mWaited;               ///< since the oldest unwritten result ended
-  bool mHasDue = false;         ///< the step's results are due at some time
-  Millis mPastDue;              ///< since then; negative before it
+  bool mTargetReached = false;  ///< the trainer has what it waits for
+  bool mTargetReachedAtLastWrite = false;  ///< that was so at the last write
+  Millis mWaited;        ///< since the oldest unwritten result ended
+  bool mHasDue = false;  ///< the step's results are due at some time
+  Millis mPastDue;       ///< since then; negative before it
 };
 
 /// \return whether the results at hand are to be written now
-bool ListNow(const ListingState& aState);
+bool ShouldWriteResults(const ListingState& aState);
 
 }  // namespace rillwall
--- a/src/include/rillwall/load_plan.h
+++ b/src/include/rillwall/load_plan.h
@@ -30,10 +30,10 @@
 /// A model whose trainer has named a version.
 struct LoadTarget {
   std::string mModel;
-  int64_t mVersion = 0;  ///< the newest that was named
-  double mDemand = 0;    ///< work of its recent steps, in any one unit
-  bool mCutRuns = true;  ///< a load may end running streams
-  int64_t mLag = 1;      ///< versions by which usable weights may be behind
+  int64_t mVersion = 0;     ///< the newest that was named
+  double mDemand = 0;       ///< work of its recent steps, in any one unit
+  bool mAbortRuns = true;   ///< a load may end running streams
+  int64_t mAllowedLag = 1;  ///< versions by which usable weights may be behind
   /// Texts of a step that run side by side; 0: unknown.
   int64_t mTexts = 0;
 };
@@ -74,20 +74,20 @@
 };
 
 /// A load to be ordered now.
-struct LoadPick {
+struct PlannedLoad {
   std::string mReplica;
   std::string mModel;
   int64_t mVersion = 0;
-  bool mCutRuns = true;
-  bool operator==(const LoadPick&) const = default;
+  bool mAbortRuns = true;
+  bool operator==(const PlannedLoad&) const = default;
 };
 
 /// \param aReplicas all replicas of one service
 /// \param aTargets its models with a named version
 /// \param aAtOnce loads that may go on at the same time
 /// \return the loads to start now, the most urgent first
-std::vector<LoadPick> PlanLoads(std::vector<LoadCandidate> aReplicas,
-                                const std::vector<LoadTarget>& aTargets,
-                                size_t aAtOnce);
+std::vector<PlannedLoad> PlanLoads(std::vector<LoadCandidate> aReplicas,
+                                   const std::vector<LoadTarget>& aTargets,
+                                   size_t aAtOnce);
 
 }  // namespace rillwall
--- a/src/include/rillwall/move_plan.h
+++ b/src/include/rillwall/move_plan.h
@@ -38,7 +38,7 @@
 /// \return the moves that gain most, the best first
 std::vector<PlannedMove> PlanMoves(const std::vector<RunningText>& aTexts,
                                    const ReplicaPool& aReplicas,
-                                   ReplicaWish aWish, size_t aMost,
+                                   ReplicaRequirements aWish, size_t aMost,
                                    Millis aNow);
 
 }  // namespace rillwall
--- a/src/include/rillwall/node_directory.h
+++ b/src/include/rillwall/node_directory.h
@@ -35,7 +35,7 @@
 class NodeDirectory {
  public:
   /// A node has asked this one.
-  void Heard(const NodeEntry& aNode, Millis aNow);
+  void RecordContact(const NodeEntry& aNode, Millis aNow);
   /// Takes over another node's list, in place of this one's.
   void Adopt(const std::vector<NodeEntry>& aNodes, Millis aNow);
   /// \return nodes in the order of their addresses, without those that were
@@ -61,7 +61,7 @@
   std::vector<std::string> CandidatesIn(const std::string& aZone,
                                         const std::string& aSelf) const;
   /// Candidates that another node names; what is known of others stays.
-  void HeardOf(const std::vector<NodeEntry>& aNodes, Millis aNow);
+  void AddCandidates(const std::vector<NodeEntry>& aNodes, Millis aNow);
 
  private:
   struct State {
--- a/src/include/rillwall/registry_table.h
+++ b/src/include/rillwall/registry_table.h
@@ -48,10 +48,10 @@
 class RegistryTable {
  public:
   /// Replicas of one service that every host may know.
-  static constexpr size_t kWholeService = 128;
+  static constexpr size_t kFullListLimit = 128;
   /// Replicas of a larger service that a host is told: enough for the texts or
   /// requests of one host many times over, and for the loss of its zone.
-  static constexpr size_t kUsualSubset = 32;
+  static constexpr size_t kDefaultSubset = 32;
 
   RegistryTable() = default;
   RegistryTable(const RegistryTable&) = delete;
--- a/src/include/rillwall/replica_log.h
+++ b/src/include/rillwall/replica_log.h
@@ -39,12 +39,12 @@
 std::vector<Replica> WithoutVersions(std::vector<Replica> aReplicas);
 
 /// What a listener has.
-struct ReplicaMark {
+struct ReplicaCursor {
   int64_t mNumber = 0;   ///< newest change known; 0: none
   uint64_t mDigest = 0;  ///< of its list; 0: it has none
   // clang-tidy 14 takes the 0 of a rewritten comparison for a null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
-  auto operator<=>(const ReplicaMark&) const = default;
+  auto operator<=>(const ReplicaCursor&) const = default;
 };
 
 /// The giver's side.
@@ -53,7 +53,7 @@
   /// Takes in all replicas that there are.
   void Take(const std::vector<Replica>& aReplicas);
   /// \param aMark of the listener; its number is 0 if another run gave it
-  ReplicaDelta Since(const ReplicaMark& aMark) const;
+  ReplicaDelta Since(const ReplicaCursor& aMark) const;
   /// \return the newest change
   int64_t Number() const { return mNumber; }
 
@@ -81,7 +81,7 @@
   /// the whole list is to be asked for
   bool Take(const std::string& aRun, const ReplicaDelta& aDelta);
   const std::string& Run() const { return mRun; }
-  ReplicaMark Mark() const { return {mNumber, mDigest}; }
+  ReplicaCursor Cursor() const { return {mNumber, mDigest}; }
   void Clear();
   std::vector<Replica> All() const;
 
--- a/src/include/rillwall/replica_pool.h
+++ b/src/include/rillwall/replica_pool.h
@@ -40,12 +40,12 @@
 
 /// One replica as the registry lists it.
 struct Replica {
-  std::string mId;  ///< a restarted replica may keep it; see mBorn
+  std::string mId;  ///< a restarted replica may keep it; see mStartedAtMs
   std::string mService;
-  std::string mAddress;  ///< ip:port
-  std::string mZone;     ///< availability zone
-  int64_t mSlots = 1;    ///< requests that it runs at once
-  int64_t mBorn = 0;     ///< its start, in ms since 1970; 0: not told
+  std::string mAddress;      ///< ip:port
+  std::string mZone;         ///< availability zone
+  int64_t mSlots = 1;        ///< requests that it runs at once
+  int64_t mStartedAtMs = 0;  ///< its start, in ms since 1970; 0: not told
   bool mDraining = false;
   std::vector<ModelVersion> mModels;
   bool mCold = false;  ///< it takes few requests a second for now
@@ -65,13 +65,13 @@
 };
 
 /// What a request asks of its replica.
-struct ReplicaWish {
+struct ReplicaRequirements {
   std::string mService;
   std::string mZone;                   ///< availability zone of this node
   std::vector<std::string> mExcluded;  ///< ids that were tried already
   std::string mModel;                  ///< empty: any
   int64_t mMinVersion = 0;             ///< oldest weights that may serve it
-  bool mWithinSlots = false;           ///< only a replica with a free slot
+  bool mNeedsFreeSlot = false;         ///< only a replica with a free slot
   AllowedRegions mRegions;             ///< only a replica in one of these
 };
 
@@ -105,14 +105,14 @@
   const std::set<std::string>& EvacuatedZones() const { return mEvacuated; }
   /// Hosts begin with different ones among replicas that are alike.
   /// \param aFirst any number; not alike on all hosts
-  void BeginWith(size_t aFirst) { mFirst = aFirst; }
+  void SetTieBreakOffset(size_t aFirst) { mFirst = aFirst; }
   /// This host's part of what cold replicas take.
   ColdShare& Cold() { return mCold; }
   /// \param aServices with the rates of their cold replicas
   void SetServices(const std::vector<ServiceSpec>& aServices);
 
   /// \return the id of the replica to send to, or nothing if none may take it
-  std::optional<std::string> Choose(const ReplicaWish& aWish,
+  std::optional<std::string> Choose(const ReplicaRequirements& aWish,
                                     Millis aNow) const;
   /// Counts a request that is about to be sent.
   /// \param aModel whose weights serve it; empty: any
@@ -139,8 +139,8 @@
   /// \return ms an event of a text at the replica, 0 if unknown
   double PaceAt(const std::string& aId, int64_t aMore, Millis aNow) const;
   /// An answer or an order told the version that a replica serves now.
-  void Learn(const std::string& aId, const std::string& aModel,
-             int64_t aVersion);
+  void UpdateVersion(const std::string& aId, const std::string& aModel,
+                     int64_t aVersion);
 
   /// \return the entry, or null if it is not (or no longer) listed
   const Replica* Find(const std::string& aId) const;
@@ -197,7 +197,7 @@
   /// \return requests at the replica, as far as this node knows
   static int64_t LoadOf(const State& aState, Millis aNow);
   /// \return how loaded and slow it is, for the comparison; lower is better
-  static double Cost(const State& aState, const ReplicaWish& aWish,
+  static double Cost(const State& aState, const ReplicaRequirements& aWish,
                      Millis aNow);
   /// The same for a text, in parts of the typical time that an event takes.
   static double TextCost(const State& aState, Millis aNow);
@@ -208,9 +208,9 @@
   static double MedianPace(const Service& aService, Millis aNow);
   /// \return the service of a state, up to date
   static const Service& Current(const State& aState, Millis aNow);
-  std::optional<std::string> ChooseFree(const ReplicaWish& aWish,
+  std::optional<std::string> ChooseFree(const ReplicaRequirements& aWish,
                                         Millis aNow) const;
-  std::optional<std::string> ChooseAny(const ReplicaWish& aWish,
+  std::optional<std::string> ChooseAny(const ReplicaRequirements& aWish,
                                        Millis aNow) const;
   void IndexServices();
   /// Takes in what the registry says of a replica that is known.
@@ -218,9 +218,10 @@
   /// Forgets what its process before this one was like.
   static void Restart(State& aState, const Replica& aReplica);
   State* Lookup(const std::string& aId);
-  static bool Paused(const State& aState, const ReplicaWish& aWish,
+  static bool Paused(const State& aState, const ReplicaRequirements& aWish,
                      Millis aNow);
-  bool Suits(const State& aState, const ReplicaWish& aWish, Millis aNow) const;
+  bool Suits(const State& aState, const ReplicaRequirements& aWish,
+             Millis aNow) const;
   /// \return requests that this host may send to a cold replica in a second
   int64_t ColdLimit(const State& aState) const;
 
--- a/src/include/rillwall/rollout_service.h
+++ b/src/include/rillwall/rollout_service.h
@@ -169,7 +169,7 @@
   /// \return the service that an item's route allows; null: none
   static const std::string* ServiceOf(const RolloutStep& aStep, size_t aItem);
   /// \return what a step's texts ask of a replica, but for its service
-  ReplicaWish WishOf(const RolloutStep& aStep) const;
+  ReplicaRequirements WishOf(const RolloutStep& aStep) const;
   std::optional<std::string> ChooseReplica(const RolloutStep& aStep,
                                            const RolloutPick& aPick) const;
   /// Ends streams at slower replicas if a faster one has room; the items go on
--- a/src/include/rillwall/route_table.h
+++ b/src/include/rillwall/route_table.h
@@ -63,7 +63,7 @@
   int64_t mMaxConnections = 0;  ///< of a replica, from all callers; 0: unknown
   bool mEngine = false;         ///< its replicas generate text with a model
   std::vector<std::string> mModels;
-  Millis mColdFor;            ///< its replicas are cold so long after a start
+  Millis mColdDuration;       ///< its replicas are cold so long after a start
   double mColdPerSecond = 0;  ///< requests that a cold one takes, of all hosts
   bool operator==(const ServiceSpec&) const = default;
 };
--- a/src/include/rillwall/shared_view.h
+++ b/src/include/rillwall/shared_view.h
@@ -34,12 +34,12 @@
 /// What a node asks, with what it knows already.
 struct ViewQuestion {
   NodeEntry mFrom;
-  std::string mRun;       ///< of the node whose replicas it knows
-  ReplicaMark mReplicas;  ///< how far it knows them
-  int64_t mCrashes = 0;   ///< number up to which it knows that node's records
-  uint64_t mNodes = 0;    ///< tag of the nodes that it was told
-  bool mVersions = true;  ///< it owns steps and wants weight versions too
-  bool mHelp = false;     ///< the lead does not answer it
+  std::string mRun;         ///< of the node whose replicas it knows
+  ReplicaCursor mReplicas;  ///< how far it knows them
+  int64_t mCrashes = 0;     ///< number up to which it knows that node's records
+  uint64_t mNodes = 0;      ///< tag of the nodes that it was told
+  bool mVersions = true;    ///< it owns steps and wants weight versions too
+  bool mHelp = false;       ///< the lead does not answer it
   bool mReplicasWanted = true;  ///< else it reads the registry itself
   bool operator==(const ViewQuestion&) const = default;
 };
--- a/src/include/rillwall/text_move.h
+++ b/src/include/rillwall/text_move.h
@@ -14,10 +14,10 @@
 
 /// A text and the two replicas in question.
 struct TextMove {
-  int64_t mEvents = 0;    ///< that it has
-  int64_t mExpected = 0;  ///< events of the whole text by its hint; 0: unknown
-  double mPaceHere = 0;   ///< ms an event; 0: unknown
-  double mPaceThere = 0;  ///< the same with this text there
+  int64_t mEvents = 0;     ///< that it has
+  int64_t mExpected = 0;   ///< events of the whole text by its hint; 0: unknown
+  double mSourcePace = 0;  ///< ms an event; 0: unknown
+  double mTargetPace = 0;  ///< the same with this text there
 };
 
 /// What the hints of senders are worth: how many tokens of a hint an event
@@ -36,7 +36,7 @@
 };
 
 /// \return events that are expected to come
-int64_t ExpectedRest(int64_t aEvents, int64_t aExpected);
+int64_t ExpectedRemainingEvents(int64_t aEvents, int64_t aExpected);
 /// \return ms by which the text ends earlier if it moves; may be negative
 double MoveGain(const TextMove& aMove);
 /// \return whether that is worth the move
--- a/src/include/rillwall/usage_duty.h
+++ b/src/include/rillwall/usage_duty.h
@@ -82,7 +82,7 @@
   LeadClaim& mLead;
   UsagePort& mPort;
   Millis mLate{10000};
-  UsageBook mBook;
+  UsageTotals mBook;
   Jitter mJitter;
   int64_t mFence = 0;  ///< of the claim for which mFixed was read; 0: none
   Millis mLeadingSince;
--- a/src/include/rillwall/usage_meter.h
+++ b/src/include/rillwall/usage_meter.h
@@ -4,8 +4,8 @@
 /// Every host that takes requests counts its own (UsageMeter) and tells the
 /// lead with its questions for the view: which costs no message, and bytes for
 /// accounts with news only. The lead keeps what hosts told, by the start of the
-/// process that told it (UsageBook), and reports a window once: when every host
-/// that it hears from has told, or at the last safe moment.
+/// process that told it (UsageTotals), and reports a window once: when every
+/// host that it hears from has told, or at the last safe moment.
 ///
 /// Counts are told whole for a window, so that telling twice changes nothing,
 /// and kept by the host long enough to be told again to a lead that takes over.
@@ -50,11 +50,11 @@
 
   /// \param aRun the lead's process; a new one is told everything anew
   /// \return whole counts of the windows with news for it
-  WindowCounts Untold(const std::string& aRun);
+  WindowCounts UnreportedCounts(const std::string& aRun);
   /// The lead has taken in what Untold() gave out last.
   void Told();
   /// \return whether the lead that was told last lacks nothing
-  bool AllTold() const;
+  bool AllReported() const;
 
  private:
   struct Tally {
@@ -71,21 +71,21 @@
 };
 
 /// What the hosts have told.
-class UsageBook {
+class UsageTotals {
  public:
   /// A host told its counts.
   /// \param aRun its process
   void Told(const std::string& aRun, const WindowCounts& aCounts);
   /// A host has told all that it counted until now.
   /// \param aAddress the host
-  void Heard(const std::string& aAddress, Millis aNow);
+  void RecordContact(const std::string& aAddress, Millis aNow);
   /// \param aSince instant
   /// \return whether each host that was heard lately was heard since then
   bool AllHeardSince(Millis aSince, Millis aNow) const;
   /// \return the sum of a window
   AccountCounts Sum(int64_t aWindow) const;
   /// \return how many processes told something of a window
-  size_t Tellers(int64_t aWindow) const;
+  size_t ReporterCount(int64_t aWindow) const;
   /// Forgets windows before this one, and hosts that are gone.
   void Forget(int64_t aWindow, Millis aNow);
 
--- a/src/include/rillwall/view_exchange.h
+++ b/src/include/rillwall/view_exchange.h
@@ -13,11 +13,11 @@
 /// of weight versions, so in a calm state that is some 150 bytes for each
 /// question. The list of nodes is bounded (NodeDirectory).
 ///
-/// With very many replicas (RegistryTable::kWholeService) every candidate reads
-/// the store itself, and a host asks one of its own availability zone, which
-/// tells it a subset: bytes, state and connections of a host do not grow with
-/// R, and the lead answers none of the H. A calm question costs a comparison;
-/// after a change, K look-ups.
+/// With very many replicas (RegistryTable::kFullListLimit) every candidate
+/// reads the store itself, and a host asks one of its own availability zone,
+/// which tells it a subset: bytes, state and connections of a host do not grow
+/// with R, and the lead answers none of the H. A calm question costs a
+/// comparison; after a change, K look-ups.
 
 #pragma once
 
@@ -124,7 +124,7 @@
   /// What makes answers differ from one another.
   struct AnswerKey {
     bool mVersions = false;
-    ReplicaMark mKnown;
+    ReplicaCursor mKnown;
     int64_t mCrashes = 0;  ///< records of crashes are known up to this
     bool mNodes = false;   ///< the nodes are told
     // clang-tidy 14 takes the 0 of a rewritten comparison for a null pointer.
--- a/src/include/rillwall/view_plan.h
+++ b/src/include/rillwall/view_plan.h
@@ -53,7 +53,7 @@
   void SetBound(Millis aBound) { mBound = aBound; }
 
   /// \return how often a node that reads the store does so
-  Millis PollEvery() const;
+  Millis PollInterval() const;
   /// \return how often others are to be asked
   Millis AskEvery() const;
   /// \return how long to wait for a node's answer: some times as long as
@@ -84,9 +84,9 @@
   /// The store told who leads.
   void LeadFound(Millis aNow);
   /// A source gave no answer, or none that helps.
-  void Missed(ViewSource aSource, Millis aNow);
+  void RecordMiss(ViewSource aSource, Millis aNow);
   /// A source does not hear from the store either.
-  void Away(ViewSource aSource, Millis aNow);
+  void RecordStoreUnreachable(ViewSource aSource, Millis aNow);
 
   /// \return whether the list known here is young enough to wait for a source
   bool Fresh(Millis aNow) const;
--- a/src/include/rillwall/weight_orders.h
+++ b/src/include/rillwall/weight_orders.h
@@ -31,7 +31,7 @@
 struct VersionOrder {
   std::string mModel;
   int64_t mVersion = 0;
-  bool mCutRuns = false;  ///< end the running streams; else they finish first
+  bool mAbortRuns = false;  ///< end the running streams; else they finish first
   std::string mHolder;
   int64_t mFence = 0;
   int64_t mExpected = 0;  ///< the replica's sequence number before this order
@@ -76,7 +76,7 @@
   double DemandOf(const std::string& aModel) const;
   /// \return whether runs of the model must finish under their version
   bool KeepsRuns(const std::string& aModel) const;
-  asio::awaitable<void> Load(Replica aReplica, LoadPick aPick);
+  asio::awaitable<void> Load(Replica aReplica, PlannedLoad aPick);
   asio::awaitable<bool> AwaitLoaded(Replica aReplica, std::string aModel,
                                     int64_t aVersion);
 
--- a/src/librillwall_coordination/backoff.cpp
+++ b/src/librillwall_coordination/backoff.cpp
@@ -4,21 +4,21 @@
 
 namespace rillwall {
 
-Millis FailurePause(int aFailures, Millis aBase, Millis aMost) {
+Millis BackoffDelay(int aFailures, Millis aBase, Millis aMost) {
   constexpr int kMostDoublings = 20;
   const int doublings = std::clamp(aFailures - 1, 0, kMostDoublings);
   return std::min(aBase * (int64_t{1} << doublings), aMost);
 }
 
-Millis Jitter::UpTo(Millis aSpan) {
+Millis Jitter::FullJitter(Millis aSpan) {
   std::uniform_int_distribution<int64_t> part(
       0, std::max<int64_t>(aSpan.Count(), 0));
   return Millis(part(mRandom));
 }
 
-Millis Jitter::HalfToAll(Millis aSpan) {
+Millis Jitter::EqualJitter(Millis aSpan) {
   const Millis half = aSpan / 2;
-  return half + UpTo(aSpan - half);
+  return half + FullJitter(aSpan - half);
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/backoff_test.cpp
+++ b/src/librillwall_coordination/backoff_test.cpp
@@ -20,19 +20,19 @@
   CPPUNIT_TEST_SUITE_END();
 
   void PausesDoubleUpToALimit() {
-    CPPUNIT_ASSERT(FailurePause(1, Millis(100), Millis(350)) == Millis(100));
-    CPPUNIT_ASSERT(FailurePause(2, Millis(100), Millis(350)) == Millis(200));
-    CPPUNIT_ASSERT(FailurePause(3, Millis(100), Millis(350)) == Millis(350));
-    CPPUNIT_ASSERT(FailurePause(99, Millis(100), Millis(350)) == Millis(350));
+    CPPUNIT_ASSERT(BackoffDelay(1, Millis(100), Millis(350)) == Millis(100));
+    CPPUNIT_ASSERT(BackoffDelay(2, Millis(100), Millis(350)) == Millis(200));
+    CPPUNIT_ASSERT(BackoffDelay(3, Millis(100), Millis(350)) == Millis(350));
+    CPPUNIT_ASSERT(BackoffDelay(99, Millis(100), Millis(350)) == Millis(350));
   }
 
   void DrawnSpansStayWithinTheirBounds() {
     Jitter jitter(7);
     for (int i = 0; i < 1000; ++i) {
-      const Millis half = jitter.HalfToAll(Millis(100));
+      const Millis half = jitter.EqualJitter(Millis(100));
       CPPUNIT_ASSERT(half >= Millis(50) && half <= Millis(100));
-      CPPUNIT_ASSERT(jitter.UpTo(Millis(10)) <= Millis(10));
-      CPPUNIT_ASSERT(jitter.UpTo(Millis(0)) == Millis(0));
+      CPPUNIT_ASSERT(jitter.FullJitter(Millis(10)) <= Millis(10));
+      CPPUNIT_ASSERT(jitter.FullJitter(Millis(0)) == Millis(0));
     }
   }
 
@@ -47,7 +47,8 @@
       for (int i = 0; i < kCandidates; ++i) {
         const std::string run =
             std::to_string(round * 7919 + i) + "-1778200153";
-        waits.push_back(Jitter(std::hash<std::string>()(run)).UpTo(Millis(60)));
+        waits.push_back(
+            Jitter(std::hash<std::string>()(run)).FullJitter(Millis(60)));
       }
       const Millis first = *std::min_element(waits.begin(), waits.end());
       racing += static_cast<int>(std::count_if(
--- a/src/librillwall_coordination/call_attempts.cpp
+++ b/src/librillwall_coordination/call_attempts.cpp
@@ -22,26 +22,26 @@
   return mKind == RequestKind::Idempotent && mRan < mAttempts;
 }
 
-bool CallAttempts::MayMoveOn() const {
+bool CallAttempts::MayAbandonTry() const {
   return mKind == RequestKind::Idempotent && mRan + 1 < mAttempts &&
          mTries + 1 < kMaxTries;
 }
 
-CallStep CallAttempts::Take(TryEnd aEnd, int aStatus) {
+CallStep CallAttempts::RecordTry(TryOutcome aEnd, int aStatus) {
   ++mTries;
   const bool triesLeft = mTries < kMaxTries;
   switch (aEnd) {
-    case TryEnd::Answered: {
+    case TryOutcome::Answered: {
       ++mRan;
       const bool failed = aStatus / 100 == kServerErrors;
       return failed && MayRunAgain() && triesLeft ? CallStep::Retry
                                                   : CallStep::Deliver;
     }
-    case TryEnd::Refused:
-    case TryEnd::NotSent:
+    case TryOutcome::Refused:
+    case TryOutcome::NotSent:
       return triesLeft ? CallStep::Retry : CallStep::Fail;
-    case TryEnd::Lost:
-    case TryEnd::TimedOut:
+    case TryOutcome::Lost:
+    case TryOutcome::TimedOut:
       ++mRan;
       return MayRunAgain() && triesLeft ? CallStep::Retry : CallStep::Fail;
   }
--- a/src/librillwall_coordination/call_attempts_test.cpp
+++ b/src/librillwall_coordination/call_attempts_test.cpp
@@ -21,54 +21,59 @@
   CPPUNIT_TEST_SUITE_END();
 
   void NonIdempotentIsNotRepeatedOnceSent() {
-    for (const TryEnd end : {TryEnd::Lost, TryEnd::TimedOut}) {
+    for (const TryOutcome end : {TryOutcome::Lost, TryOutcome::TimedOut}) {
       CallAttempts call(RequestKind::NonIdempotent, 5);
-      CPPUNIT_ASSERT(call.Take(end, 0) == CallStep::Fail);
+      CPPUNIT_ASSERT(call.RecordTry(end, 0) == CallStep::Fail);
       CPPUNIT_ASSERT(call.Failure(false).Run() == RunState::Unknown);
     }
   }
 
   void NonIdempotentGoesOnAfterARefusal() {
     CallAttempts call(RequestKind::NonIdempotent, 1);
-    CPPUNIT_ASSERT(call.Take(TryEnd::Refused, 503) == CallStep::Retry);
-    CPPUNIT_ASSERT(call.Take(TryEnd::NotSent, 0) == CallStep::Retry);
-    CPPUNIT_ASSERT(call.Take(TryEnd::Answered, 200) == CallStep::Deliver);
+    CPPUNIT_ASSERT(call.RecordTry(TryOutcome::Refused, 503) == CallStep::Retry);
+    CPPUNIT_ASSERT(call.RecordTry(TryOutcome::NotSent, 0) == CallStep::Retry);
+    CPPUNIT_ASSERT(call.RecordTry(TryOutcome::Answered, 200) ==
+                   CallStep::Deliver);
   }
 
   void RefusalIsTrueOnlyIfNothingRan() {
     CallAttempts refused(RequestKind::Idempotent, 2);
-    refused.Take(TryEnd::Refused, 503);
+    refused.RecordTry(TryOutcome::Refused, 503);
     CPPUNIT_ASSERT(refused.Failure(true).Run() == RunState::NotRun);
     CPPUNIT_ASSERT(refused.Failure(true).RetryAfter() > Millis(0));
-    refused.Take(TryEnd::Lost, 0);
-    refused.Take(TryEnd::Refused, 503);
+    refused.RecordTry(TryOutcome::Lost, 0);
+    refused.RecordTry(TryOutcome::Refused, 503);
     CPPUNIT_ASSERT(refused.Failure(false).Run() == RunState::Unknown);
   }
 
   void IdempotentIsRepeatedWithinAttempts() {
     CallAttempts call(RequestKind::Idempotent, 3);
-    CPPUNIT_ASSERT(call.Take(TryEnd::Lost, 0) == CallStep::Retry);
-    CPPUNIT_ASSERT(call.Take(TryEnd::TimedOut, 0) == CallStep::Retry);
-    CPPUNIT_ASSERT(call.Take(TryEnd::Lost, 0) == CallStep::Fail);
+    CPPUNIT_ASSERT(call.RecordTry(TryOutcome::Lost, 0) == CallStep::Retry);
+    CPPUNIT_ASSERT(call.RecordTry(TryOutcome::TimedOut, 0) == CallStep::Retry);
+    CPPUNIT_ASSERT(call.RecordTry(TryOutcome::Lost, 0) == CallStep::Fail);
   }
 
   void IdempotentServerErrorIsRepeated() {
     CallAttempts call(RequestKind::Idempotent, 2);
-    CPPUNIT_ASSERT(call.Take(TryEnd::Answered, 500) == CallStep::Retry);
-    CPPUNIT_ASSERT(call.Take(TryEnd::Answered, 500) == CallStep::Deliver);
+    CPPUNIT_ASSERT(call.RecordTry(TryOutcome::Answered, 500) ==
+                   CallStep::Retry);
+    CPPUNIT_ASSERT(call.RecordTry(TryOutcome::Answered, 500) ==
+                   CallStep::Deliver);
     CallAttempts other(RequestKind::Idempotent, 2);
-    CPPUNIT_ASSERT(other.Take(TryEnd::Answered, 404) == CallStep::Deliver);
+    CPPUNIT_ASSERT(other.RecordTry(TryOutcome::Answered, 404) ==
+                   CallStep::Deliver);
   }
 
   void NonIdempotentServerErrorIsDelivered() {
     CallAttempts call(RequestKind::NonIdempotent, 4);
-    CPPUNIT_ASSERT(call.Take(TryEnd::Answered, 500) == CallStep::Deliver);
+    CPPUNIT_ASSERT(call.RecordTry(TryOutcome::Answered, 500) ==
+                   CallStep::Deliver);
   }
 
   void RefusalsEndToo() {
     CallAttempts call(RequestKind::Idempotent, 2);
     int tries = 1;
-    while (call.Take(TryEnd::Refused, 503) == CallStep::Retry) {
+    while (call.RecordTry(TryOutcome::Refused, 503) == CallStep::Retry) {
       ++tries;
       CPPUNIT_ASSERT(tries < 100);
     }
@@ -77,17 +82,17 @@
 
   void TimeUpAfterASendIsNoRefusal() {
     CallAttempts call(RequestKind::Idempotent, 1);
-    call.Take(TryEnd::TimedOut, 0);
+    call.RecordTry(TryOutcome::TimedOut, 0);
     CPPUNIT_ASSERT(call.Failure(true).Kind() == ErrorKind::Timeout);
     CPPUNIT_ASSERT(call.Failure(true).Run() == RunState::Unknown);
   }
 
   void MayMoveOnOnlyWithAttemptsLeft() {
     CallAttempts call(RequestKind::Idempotent, 2);
-    CPPUNIT_ASSERT(call.MayMoveOn());
-    call.Take(TryEnd::TimedOut, 0);
-    CPPUNIT_ASSERT(!call.MayMoveOn());
-    CPPUNIT_ASSERT(!CallAttempts(RequestKind::Streaming, 5).MayMoveOn());
+    CPPUNIT_ASSERT(call.MayAbandonTry());
+    call.RecordTry(TryOutcome::TimedOut, 0);
+    CPPUNIT_ASSERT(!call.MayAbandonTry());
+    CPPUNIT_ASSERT(!CallAttempts(RequestKind::Streaming, 5).MayAbandonTry());
   }
 };
 
--- a/src/librillwall_coordination/claim_call.cpp
+++ b/src/librillwall_coordination/claim_call.cpp
@@ -70,7 +70,7 @@
   Millis Pause() const {
     return mFailures == 0
                ? Millis(0)
-               : FailurePause(mFailures, mLimits.mPause, mLimits.mLongestPause);
+               : BackoffDelay(mFailures, mLimits.mPause, mLimits.mLongestPause);
   }
 
   void Next(ClaimNext aNext, std::string aValue = {}) {
--- a/src/librillwall_coordination/client_accounts.cpp
+++ b/src/librillwall_coordination/client_accounts.cpp
@@ -31,7 +31,7 @@
   return found == mByKey.end() ? nullptr : &mAccounts[found->second];
 }
 
-const ClientAccount* AccountTable::Named(std::string_view aName) const {
+const ClientAccount* AccountTable::FindByName(std::string_view aName) const {
   const auto found = mByName.find(aName);
   return found == mByName.end() ? nullptr : &mAccounts[found->second];
 }
--- a/src/librillwall_coordination/cold_share.cpp
+++ b/src/librillwall_coordination/cold_share.cpp
@@ -31,7 +31,7 @@
   mTakesClients = aTakesClients;
 }
 
-void ColdShare::SetHosts(size_t aHosts) { mHosts = aHosts; }
+void ColdShare::SetHostCount(size_t aHosts) { mHosts = aHosts; }
 
 int64_t ColdShare::PerSecond(const std::string& aReplica, double aRate) const {
   if (!mTakesClients) {
--- a/src/librillwall_coordination/cold_share_test.cpp
+++ b/src/librillwall_coordination/cold_share_test.cpp
@@ -26,7 +26,7 @@
 ColdShare ShareOf(size_t aHost, size_t aHosts) {
   ColdShare share;
   share.SetHost(HostName(aHost), true);
-  share.SetHosts(aHosts);
+  share.SetHostCount(aHosts);
   return share;
 }
 
@@ -47,8 +47,8 @@
   return service;
 }
 
-ReplicaWish Wish() {
-  ReplicaWish wish;
+ReplicaRequirements Wish() {
+  ReplicaRequirements wish;
   wish.mService = "s";
   wish.mZone = "z";
   return wish;
--- a/src/librillwall_coordination/crash_table.cpp
+++ b/src/librillwall_coordination/crash_table.cpp
@@ -36,13 +36,13 @@
   return true;
 }
 
-bool CrashTable::Blame(CrashRecord aRecord) {
+bool CrashTable::AddCrash(CrashRecord aRecord) {
   const bool news = Take(aRecord, true);
   if (news) {
     Evict();
   }
-  if (news && mOnOwnNews) {
-    mOnOwnNews();
+  if (news && mOnLocalChange) {
+    mOnLocalChange();
   }
   return news;
 }
@@ -56,8 +56,8 @@
     record.mCleared = true;
     Take(record, true);
   }
-  if (!cleared.empty() && mOnOwnNews) {
-    mOnOwnNews();
+  if (!cleared.empty() && mOnLocalChange) {
+    mOnLocalChange();
   }
   return cleared.size();
 }
@@ -80,7 +80,7 @@
 }
 
 void CrashTable::Forget(int64_t aNowMs) {
-  const int64_t oldest = aNowMs - kRememberFor.Count();
+  const int64_t oldest = aNowMs - kRecordLifetime.Count();
   for (auto at = mRecords.begin(); at != mRecords.end();) {
     at = at->second.mRecord.mAtMs < oldest ? Erase(at) : std::next(at);
   }
@@ -112,12 +112,13 @@
   ForOpenRecords(aRequest, [&](const CrashRecord& aRecord) {
     times.push_back(aRecord.mAtMs);
   });
-  if (times.size() < kReplicasToHold) {
+  if (times.size() < kCrashesToHold) {
     return {};
   }
   // Until so many are forgotten that the rest does not hold it.
   std::sort(times.rbegin(), times.rend());
-  const Millis left(times[kReplicasToHold - 1] + kRememberFor.Count() - aNowMs);
+  const Millis left(times[kCrashesToHold - 1] + kRecordLifetime.Count() -
+                    aNowMs);
   return std::max(left, Millis(1));
 }
 
@@ -150,7 +151,7 @@
   });
 }
 
-void CrashTable::Saved(const std::vector<CrashRecord>& aRecords) {
+void CrashTable::MarkSaved(const std::vector<CrashRecord>& aRecords) {
   for (const CrashRecord& record : aRecords) {
     const auto at = mRecords.find({record.mRequest, record.mReplica});
     // It may have been cleared while it was written.
--- a/src/librillwall_coordination/crash_table_test.cpp
+++ b/src/librillwall_coordination/crash_table_test.cpp
@@ -35,7 +35,7 @@
   }
   void Hold(const std::string& aRequest, int64_t aAtMs = 1000) {
     for (const char* replica : {"r1", "r2", "r3"}) {
-      mTable.Blame(Record(aRequest, replica, aAtMs));
+      mTable.AddCrash(Record(aRequest, replica, aAtMs));
     }
   }
 
@@ -43,12 +43,12 @@
 
   void HeldAfterThreeReplicas() {
     const RequestDigest request = Named("/p");
-    CPPUNIT_ASSERT(!mTable.AnySuspect());
-    mTable.Blame(Record("/p", "r1"));
-    mTable.Blame(Record("/p", "r2"));
-    CPPUNIT_ASSERT(mTable.AnySuspect());
+    CPPUNIT_ASSERT(!mTable.HasSuspects());
+    mTable.AddCrash(Record("/p", "r1"));
+    mTable.AddCrash(Record("/p", "r2"));
+    CPPUNIT_ASSERT(mTable.HasSuspects());
     CPPUNIT_ASSERT(!mTable.Held(request));
-    mTable.Blame(Record("/p", "r3"));
+    mTable.AddCrash(Record("/p", "r3"));
     CPPUNIT_ASSERT(mTable.Held(request));
     CPPUNIT_ASSERT(!mTable.Held(Named("/q")));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Suspects().size());
@@ -56,20 +56,20 @@
   }
 
   void OneEndCountsOnce() {
-    CPPUNIT_ASSERT(mTable.Blame(Record("/p", "r1")));
-    CPPUNIT_ASSERT(!mTable.Blame(Record("/p", "r1", 1005)));
+    CPPUNIT_ASSERT(mTable.AddCrash(Record("/p", "r1")));
+    CPPUNIT_ASSERT(!mTable.AddCrash(Record("/p", "r1", 1005)));
     mTable.Merge({Record("/p", "r1", 999)});
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Crashes(Named("/p")));
   }
 
   void AnswerClears() {
     Hold("/p");
-    mTable.Blame(Record("/q", "r1"));
+    mTable.AddCrash(Record("/q", "r1"));
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mTable.Clear(Named("/p")));
     CPPUNIT_ASSERT(!mTable.Held(Named("/p")));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Crashes(Named("/q")));
     mTable.Clear(Named("/q"));
-    CPPUNIT_ASSERT(!mTable.AnySuspect());
+    CPPUNIT_ASSERT(!mTable.HasSuspects());
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mTable.Clear(Named("/q")));
   }
 
@@ -86,33 +86,33 @@
     Hold("/p");
     mTable.Clear(Named("/p"));
     for (const char* replica : {"r4", "r5", "r6"}) {
-      mTable.Blame(Record("/p", replica));
+      mTable.AddCrash(Record("/p", replica));
     }
     CPPUNIT_ASSERT(mTable.Held(Named("/p")));
   }
 
   void HeldForAsLongAsItCounts() {
-    const int64_t span = CrashTable::kRememberFor.Count();
+    const int64_t span = CrashTable::kRecordLifetime.Count();
     CPPUNIT_ASSERT(mTable.HeldFor(Named("/p"), 0) == Millis(0));
-    mTable.Blame(Record("/p", "r1", 1000));
-    mTable.Blame(Record("/p", "r2", 3000));
+    mTable.AddCrash(Record("/p", "r1", 1000));
+    mTable.AddCrash(Record("/p", "r2", 3000));
     CPPUNIT_ASSERT(mTable.HeldFor(Named("/p"), 3000) == Millis(0));
-    mTable.Blame(Record("/p", "r3", 4000));
+    mTable.AddCrash(Record("/p", "r3", 4000));
     CPPUNIT_ASSERT(mTable.HeldFor(Named("/p"), 4000) == Millis(span - 3000));
-    mTable.Blame(Record("/p", "r4", 9000));
+    mTable.AddCrash(Record("/p", "r4", 9000));
     CPPUNIT_ASSERT(mTable.HeldFor(Named("/p"), 9000) == Millis(span - 6000));
   }
 
   void OldRecordsAreForgotten() {
-    const int64_t span = CrashTable::kRememberFor.Count();
+    const int64_t span = CrashTable::kRecordLifetime.Count();
     Hold("/p", 1000);
-    mTable.Blame(Record("/q", "r1", 5000));
+    mTable.AddCrash(Record("/q", "r1", 5000));
     mTable.Forget(1000 + span);
     CPPUNIT_ASSERT(mTable.Held(Named("/p")));
     mTable.Forget(1001 + span);
     CPPUNIT_ASSERT(!mTable.Held(Named("/p")));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Size());
-    CPPUNIT_ASSERT(mTable.AnySuspect());
+    CPPUNIT_ASSERT(mTable.HasSuspects());
   }
 
   void ManyDoNotPushOutTheHeld() {
@@ -130,15 +130,15 @@
 
   void OnlyOwnNewsIsUnsaved() {
     int told = 0;
-    mTable.mOnOwnNews = [&] { ++told; };
+    mTable.mOnLocalChange = [&] { ++told; };
     mTable.Merge({Record("/p", "r1")});
     CPPUNIT_ASSERT(mTable.Unsaved(9).empty());
-    mTable.Blame(Record("/p", "r2"));
-    mTable.Blame(Record("/p", "r3"));
+    mTable.AddCrash(Record("/p", "r2"));
+    mTable.AddCrash(Record("/p", "r3"));
     CPPUNIT_ASSERT_EQUAL(2, told);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Unsaved(1).size());
     CPPUNIT_ASSERT(mTable.UnsavedIsUrgent());
-    mTable.Saved(mTable.Unsaved(9));
+    mTable.MarkSaved(mTable.Unsaved(9));
     CPPUNIT_ASSERT(mTable.Unsaved(9).empty());
     mTable.Clear(Named("/p"));
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mTable.Unsaved(9).size());
@@ -146,19 +146,19 @@
   }
 
   void ChangedWhileWrittenIsWrittenAgain() {
-    mTable.Blame(Record("/p", "r1"));
+    mTable.AddCrash(Record("/p", "r1"));
     const std::vector<CrashRecord> written = mTable.Unsaved(9);
     mTable.Clear(Named("/p"));
-    mTable.Saved(written);
+    mTable.MarkSaved(written);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Unsaved(9).size());
     CPPUNIT_ASSERT(mTable.Unsaved(9).front().mCleared);
   }
 
   void ToldSinceANumber() {
-    mTable.Blame(Record("/p", "r1"));
+    mTable.AddCrash(Record("/p", "r1"));
     const int64_t number = mTable.Number();
     CPPUNIT_ASSERT(mTable.Since(number).empty());
-    mTable.Blame(Record("/p", "r2"));
+    mTable.AddCrash(Record("/p", "r2"));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Since(number).size());
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mTable.Since(0).size());
     // The mark that a record is cleared is told too.
--- a/src/librillwall_coordination/engine_state.cpp
+++ b/src/librillwall_coordination/engine_state.cpp
@@ -14,7 +14,7 @@
 // A report this young says that the engine answers.
 constexpr Millis kReportAnswers{3000};
 
-LimiterSigns SignsOf(const DispatchTuning& aTuning) {
+LimiterSignals SignsOf(const DispatchTuning& aTuning) {
   return {.mReports = aTuning.mLimitByReports,
           .mFirstTokens = aTuning.mLimitByFirstTokens};
 }
--- a/src/librillwall_coordination/few_texts_many_replicas_test.cpp
+++ b/src/librillwall_coordination/few_texts_many_replicas_test.cpp
@@ -40,11 +40,11 @@
     const std::vector<LoadTarget> targets = {{"m", 2, 100, true, 0, 192},
                                              {"n", 2, 100, true, 0, 48}};
     for (const size_t replicas : {200, 1000, 10000}) {
-      const std::vector<LoadPick> picks =
+      const std::vector<PlannedLoad> picks =
           PlanLoads(Candidates(replicas), targets, replicas);
       const auto ofM = std::count_if(
           picks.begin(), picks.end(),
-          [](const LoadPick& aPick) { return aPick.mModel == "m"; });
+          [](const PlannedLoad& aPick) { return aPick.mModel == "m"; });
       CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{64}, ofM);
       CPPUNIT_ASSERT_EQUAL(size_t{80}, picks.size());
     }
--- a/src/librillwall_coordination/home_regions.cpp
+++ b/src/librillwall_coordination/home_regions.cpp
@@ -17,7 +17,7 @@
 }
 
 void AddUnknown(const AllowedRegions& aRegions, const std::string& aField,
-                const RegionMap& aMap, std::vector<ConfigDoubt>& aDoubts) {
+                const RegionMap& aMap, std::vector<ConfigWarning>& aDoubts) {
   if (!aRegions || aMap.empty()) {
     return;
   }
@@ -48,7 +48,7 @@
 AllowedRegions RegionsOf(const RouteTable& aTable, const Route& aRoute,
                          const std::string& aAccount) {
   const ClientAccount* account =
-      aAccount.empty() ? nullptr : aTable.Accounts().Named(aAccount);
+      aAccount.empty() ? nullptr : aTable.Accounts().FindByName(aAccount);
   return account == nullptr ? aRoute.mRegions
                             : BothAllow(aRoute.mRegions, account->mRegions);
 }
@@ -62,9 +62,9 @@
   return found != aMap.end() && Holds(*aRegions, found->second);
 }
 
-std::vector<ConfigDoubt> DoubtsOf(const RouteTable& aTable,
-                                  const RegionMap& aMap) {
-  std::vector<ConfigDoubt> doubts;
+std::vector<ConfigWarning> ConfigWarnings(const RouteTable& aTable,
+                                          const RegionMap& aMap) {
+  std::vector<ConfigWarning> doubts;
   for (const Route& route : aTable.Routes()) {
     const std::string field = "route " + route.mName + ": regions";
     AddUnknown(route.mRegions, field, aMap, doubts);
@@ -83,7 +83,7 @@
                doubts);
   }
   for (const ServiceSpec& service : aTable.Services()) {
-    if (service.mColdFor > Millis(0) && service.mColdPerSecond <= 0) {
+    if (service.mColdDuration > Millis(0) && service.mColdPerSecond <= 0) {
       doubts.push_back(
           {"service " + service.mName + ": rate of cold replicas",
            "its replicas are cold after a start and no rate is set, so that "
--- a/src/librillwall_coordination/home_regions_test.cpp
+++ b/src/librillwall_coordination/home_regions_test.cpp
@@ -25,11 +25,11 @@
   return replica;
 }
 
-ReplicaWish Wish(AllowedRegions aRegions, bool aWithinSlots) {
-  ReplicaWish wish;
+ReplicaRequirements Wish(AllowedRegions aRegions, bool aWithinSlots) {
+  ReplicaRequirements wish;
   wish.mService = "s";
   wish.mZone = "s1";
-  wish.mWithinSlots = aWithinSlots;
+  wish.mNeedsFreeSlot = aWithinSlots;
   wish.mRegions = std::move(aRegions);
   return wish;
 }
@@ -104,18 +104,19 @@
 
   void DoubtsAreNamed() {
     CPPUNIT_ASSERT(
-        DoubtsOf(TableOf(Only("north"), Only("north")), kMap).empty());
-    CPPUNIT_ASSERT(DoubtsOf(TableOf(std::nullopt, std::nullopt), kMap).empty());
-    const std::vector<ConfigDoubt> doubts =
-        DoubtsOf(TableOf(Only("north"), Only("nroth")), kMap);
+        ConfigWarnings(TableOf(Only("north"), Only("north")), kMap).empty());
+    CPPUNIT_ASSERT(
+        ConfigWarnings(TableOf(std::nullopt, std::nullopt), kMap).empty());
+    const std::vector<ConfigWarning> doubts =
+        ConfigWarnings(TableOf(Only("north"), Only("nroth")), kMap);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, doubts.size());
     CPPUNIT_ASSERT(doubts[0].mField.find("route r") != std::string::npos);
-    CPPUNIT_ASSERT(doubts[1].mWhy.find("nroth") != std::string::npos);
+    CPPUNIT_ASSERT(doubts[1].mReason.find("nroth") != std::string::npos);
     ServiceSpec service;
     service.mName = "s";
-    service.mColdFor = Millis(3000);
+    service.mColdDuration = Millis(3000);
     const RouteTable cold(1, {}, {service}, {});
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, DoubtsOf(cold, kMap).size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, ConfigWarnings(cold, kMap).size());
   }
 };
 
--- a/src/librillwall_coordination/limiter.h
+++ b/src/librillwall_coordination/limiter.h
@@ -20,14 +20,14 @@
 namespace rillwall {
 
 /// Signs that the limit follows.
-struct LimiterSigns {
+struct LimiterSignals {
   bool mReports = true;
   bool mFirstTokens = true;
 };
 
 class Limiter {
  public:
-  explicit Limiter(LimiterSigns aSigns) : mSigns(aSigns) {}
+  explicit Limiter(LimiterSignals aSigns) : mSigns(aSigns) {}
 
   /// The engine's report; its slots are the upper bound.
   void Report(const LoadReport& aReport);
@@ -48,7 +48,7 @@
 
  private:
   static constexpr double kDefaultSlots = 16;
-  LimiterSigns mSigns;
+  LimiterSignals mSigns;
   double mSlots = kDefaultSlots;
   double mLimit = kDefaultSlots;
   int mShortReports = 0;  ///< in a row with calls waiting beside free slots
--- a/src/librillwall_coordination/limiter_test.cpp
+++ b/src/librillwall_coordination/limiter_test.cpp
@@ -27,7 +27,7 @@
 
  public:
   void FallsToWhatTheEngineHolds() {
-    Limiter limiter{LimiterSigns()};
+    Limiter limiter{LimiterSignals()};
     limiter.Report({.mRunning = 7, .mWaiting = 3, .mSlots = 16});
     CPPUNIT_ASSERT_EQUAL(16.0, limiter.Limit());
     limiter.Report({.mRunning = 7, .mWaiting = 2, .mSlots = 16});
@@ -40,7 +40,7 @@
   }
 
   void NeverBelowOne() {
-    Limiter limiter{LimiterSigns()};
+    Limiter limiter{LimiterSignals()};
     for (int call = 0; call < 100; ++call) {
       limiter.Refused();
       limiter.Lower(-5);
@@ -50,7 +50,7 @@
   }
 
   void OverdueFirstTokens() {
-    Limiter limiter{LimiterSigns()};
+    Limiter limiter{LimiterSignals()};
     const CallClass kind = CallClass::Interactive;
     CPPUNIT_ASSERT(!limiter.Overdue(kind, Millis(60000)));
     for (int call = 0; call < 10; ++call) {
--- a/src/librillwall_coordination/listing_plan.cpp
+++ b/src/librillwall_coordination/listing_plan.cpp
@@ -17,8 +17,9 @@
 
 }  // namespace
 
-bool ListNow(const ListingState& aState) {
-  if (aState.mAllEnded || (aState.mReached && !aState.mReachedListed)) {
+bool ShouldWriteResults(const ListingState& aState) {
+  if (aState.mAllEnded ||
+      (aState.mTargetReached && !aState.mTargetReachedAtLastWrite)) {
     return true;
   }
   const bool due = aState.mHasDue && aState.mPastDue >= kFromDue &&
--- a/src/librillwall_coordination/listing_plan_test.cpp
+++ b/src/librillwall_coordination/listing_plan_test.cpp
@@ -20,7 +20,7 @@
 
   bool After(int64_t aWaitedMs) {
     mState.mWaited = Millis(aWaitedMs);
-    return ListNow(mState);
+    return ShouldWriteResults(mState);
   }
 
   void GathersWhileTheTrainerWaits() {
@@ -29,9 +29,9 @@
   }
 
   void TargetIsWrittenAtOnce() {
-    mState.mReached = true;
+    mState.mTargetReached = true;
     CPPUNIT_ASSERT(After(0));
-    mState.mReachedListed = true;
+    mState.mTargetReachedAtLastWrite = true;
     CPPUNIT_ASSERT(!After(0));
   }
 
--- a/src/librillwall_coordination/load_plan.cpp
+++ b/src/librillwall_coordination/load_plan.cpp
@@ -53,7 +53,7 @@
   Standing StandingOf(size_t aTarget) const;
   /// \return index of the replica that should load a model's weights
   std::optional<size_t> BestFor(const Standing& aStanding) const;
-  LoadPick Order(const Standing& aStanding, size_t aReplica);
+  PlannedLoad Order(const Standing& aStanding, size_t aReplica);
 
  private:
   int64_t Version(size_t aReplica, size_t aTarget) const {
@@ -101,7 +101,7 @@
 
 bool LoadTable::Usable(size_t aReplica, size_t aTarget) const {
   const LoadTarget& target = mTargets[aTarget];
-  return Version(aReplica, aTarget) >= target.mVersion - target.mLag;
+  return Version(aReplica, aTarget) >= target.mVersion - target.mAllowedLag;
 }
 
 Standing LoadTable::StandingOf(size_t aTarget) const {
@@ -151,7 +151,7 @@
   // what it runs must find room at the others.
   const int64_t others = aStanding.mRoom - FreeSlots(replica);
   const auto steps =
-      static_cast<size_t>(target.mLag + 1);  // that a load serves
+      static_cast<size_t>(target.mAllowedLag + 1);  // that a load serves
   return aStanding.mNewest * steps < aStanding.mUsable &&
          static_cast<double>(aStanding.mNewest) < aStanding.mShare &&
          others >= replica.RunsOf(target.mModel);
@@ -178,12 +178,12 @@
   return best;
 }
 
-LoadPick LoadTable::Order(const Standing& aStanding, size_t aReplica) {
+PlannedLoad LoadTable::Order(const Standing& aStanding, size_t aReplica) {
   const LoadTarget& target = mTargets[aStanding.mTarget];
   LoadCandidate& replica = mReplicas[aReplica];
   replica.mLoading = ModelVersion{target.mModel, target.mVersion};
   mVersions[aReplica * mTargets.size() + aStanding.mTarget] = target.mVersion;
-  return {replica.mId, target.mModel, target.mVersion, target.mCutRuns};
+  return {replica.mId, target.mModel, target.mVersion, target.mAbortRuns};
 }
 
 }  // namespace
@@ -228,11 +228,11 @@
   return found == mRuns.end() ? 0 : found->second;
 }
 
-std::vector<LoadPick> PlanLoads(std::vector<LoadCandidate> aReplicas,
-                                const std::vector<LoadTarget>& aTargets,
-                                size_t aAtOnce) {
+std::vector<PlannedLoad> PlanLoads(std::vector<LoadCandidate> aReplicas,
+                                   const std::vector<LoadTarget>& aTargets,
+                                   size_t aAtOnce) {
   LoadTable table(std::move(aReplicas), aTargets);
-  std::vector<LoadPick> picks;
+  std::vector<PlannedLoad> picks;
   for (size_t loading = table.Loading(); loading < aAtOnce; ++loading) {
     // The model with the fewest loads of its newest version is served first.
     std::optional<Standing> neediest;
--- a/src/librillwall_coordination/load_plan_test.cpp
+++ b/src/librillwall_coordination/load_plan_test.cpp
@@ -35,7 +35,7 @@
 }
 
 /// Carries a pick out at once.
-void Carry(std::vector<LoadCandidate>& aReplicas, const LoadPick& aPick) {
+void Carry(std::vector<LoadCandidate>& aReplicas, const PlannedLoad& aPick) {
   for (LoadCandidate& replica : aReplicas) {
     for (ModelVersion& version : replica.mVersions) {
       if (replica.mId == aPick.mReplica && version.mModel == aPick.mModel) {
@@ -47,11 +47,11 @@
 
 /// Plans and carries out, one load at a time, until nothing is left to load.
 /// \return the loads in their order
-std::vector<LoadPick> CarryAll(std::vector<LoadCandidate>& aReplicas,
-                               const std::vector<LoadTarget>& aTargets) {
-  std::vector<LoadPick> all;
+std::vector<PlannedLoad> CarryAll(std::vector<LoadCandidate>& aReplicas,
+                                  const std::vector<LoadTarget>& aTargets) {
+  std::vector<PlannedLoad> all;
   while (true) {
-    const std::vector<LoadPick> picks = PlanLoads(aReplicas, aTargets, 1);
+    const std::vector<PlannedLoad> picks = PlanLoads(aReplicas, aTargets, 1);
     if (picks.empty()) {
       return all;
     }
@@ -60,9 +60,10 @@
   }
 }
 
-std::map<std::string, int> CountByModel(const std::vector<LoadPick>& aPicks) {
+std::map<std::string, int> CountByModel(
+    const std::vector<PlannedLoad>& aPicks) {
   std::map<std::string, int> counts;
-  for (const LoadPick& pick : aPicks) {
+  for (const PlannedLoad& pick : aPicks) {
     ++counts[pick.mModel];
   }
   return counts;
@@ -153,7 +154,7 @@
   void FailingOneComesLast() {
     std::vector<LoadCandidate> replicas = Replicas(2, 3);
     replicas[0].mFailing = true;
-    const std::vector<LoadPick> picks =
+    const std::vector<PlannedLoad> picks =
         PlanLoads(replicas, {{"m", 5, 1, true}}, 2);
     CPPUNIT_ASSERT_EQUAL(std::string("r1"), picks.at(0).mReplica);
   }
@@ -167,7 +168,7 @@
     replicas[1].mInFlight = 3;
     replicas[2].mRuns["m"] = 2;
     replicas[2].mInFlight = 2;
-    const std::vector<LoadPick> picks =
+    const std::vector<PlannedLoad> picks =
         PlanLoads(replicas, {{"m", 5, 1, true}}, 3);
     CPPUNIT_ASSERT_EQUAL(std::string("r1"), picks.at(0).mReplica);
     CPPUNIT_ASSERT_EQUAL(std::string("r0"), picks.at(1).mReplica);
@@ -200,7 +201,7 @@
 
   void BothModelsGetTheirTurn() {
     std::vector<LoadCandidate> replicas = Replicas(8, 1, 1);
-    const std::vector<LoadPick> loads =
+    const std::vector<PlannedLoad> loads =
         CarryAll(replicas, {{"m", 9, 1, true}, {"n", 9, 1, true}});
     CPPUNIT_ASSERT(loads.at(0).mModel != loads.at(1).mModel);
     CPPUNIT_ASSERT_EQUAL(4, CountByModel(loads)["m"]);
@@ -212,10 +213,10 @@
     std::vector<LoadCandidate> replicas = Replicas(4, 1, 1);
     replicas[0].mPace = 1.3;
     replicas[1].mPace = 1.3;
-    const std::vector<LoadPick> loads =
+    const std::vector<PlannedLoad> loads =
         CarryAll(replicas, {{"m", 9, 1, true}, {"n", 9, 1, true}});
     CPPUNIT_ASSERT_EQUAL(size_t{4}, loads.size());
-    for (const LoadPick& pick : loads) {
+    for (const PlannedLoad& pick : loads) {
       CPPUNIT_ASSERT(pick.mReplica == "r2" || pick.mReplica == "r3");
     }
   }
@@ -226,14 +227,14 @@
     std::vector<LoadCandidate> replicas = Replicas(8, 1, 9);
     std::vector<LoadTarget> targets = {{"m", 5, 1, true}, {"n", 9, 1, true}};
     std::set<std::string> first;
-    for (const LoadPick& pick : CarryAll(replicas, targets)) {
+    for (const PlannedLoad& pick : CarryAll(replicas, targets)) {
       first.insert(pick.mReplica);
     }
     targets[0].mVersion = 6;
-    const std::vector<LoadPick> second = CarryAll(replicas, targets);
+    const std::vector<PlannedLoad> second = CarryAll(replicas, targets);
     CPPUNIT_ASSERT_EQUAL(size_t{4}, first.size());
     CPPUNIT_ASSERT_EQUAL(size_t{4}, second.size());
-    for (const LoadPick& pick : second) {
+    for (const PlannedLoad& pick : second) {
       CPPUNIT_ASSERT(!first.contains(pick.mReplica));
     }
   }
--- a/src/librillwall_coordination/many_replicas_test.cpp
+++ b/src/librillwall_coordination/many_replicas_test.cpp
@@ -79,7 +79,7 @@
       Fill(table, replicas);
       CPPUNIT_ASSERT(table.Large());
       const std::vector<Replica> subset = table.SubsetFor(HostAt(1));
-      CPPUNIT_ASSERT_EQUAL(RegistryTable::kUsualSubset, subset.size());
+      CPPUNIT_ASSERT_EQUAL(RegistryTable::kDefaultSubset, subset.size());
       const auto near = std::count_if(
           subset.begin(), subset.end(),
           [](const Replica& aOne) { return aOne.mZone == ZoneName(1); });
@@ -157,7 +157,7 @@
     for (size_t i = 1; i < 1000; i += kZones) {
       table.Remove(ReplicaAt(i).mId, 2, false);
     }
-    CPPUNIT_ASSERT_EQUAL(RegistryTable::kUsualSubset,
+    CPPUNIT_ASSERT_EQUAL(RegistryTable::kDefaultSubset,
                          table.SubsetFor(HostAt(1)).size());
   }
 
@@ -166,7 +166,7 @@
     Fill(table, 1000);
     const SubsetQuestion stranger{"10.9.9.9:1", "elsewhere"};
     const std::vector<Replica> subset = table.SubsetFor(stranger);
-    CPPUNIT_ASSERT_EQUAL(RegistryTable::kUsualSubset, subset.size());
+    CPPUNIT_ASSERT_EQUAL(RegistryTable::kDefaultSubset, subset.size());
     std::set<std::string> zones;
     for (const Replica& replica : subset) {
       zones.insert(replica.mZone);
--- a/src/librillwall_coordination/move_plan.cpp
+++ b/src/librillwall_coordination/move_plan.cpp
@@ -17,7 +17,7 @@
   double mSecondPace = 0;
 };
 
-Targets FindTargets(const ReplicaPool& aReplicas, ReplicaWish aWish,
+Targets FindTargets(const ReplicaPool& aReplicas, ReplicaRequirements aWish,
                     Millis aNow) {
   Targets targets;
   targets.mFirst = aReplicas.Choose(aWish, aNow);
@@ -37,7 +37,7 @@
 
 std::vector<PlannedMove> PlanMoves(const std::vector<RunningText>& aTexts,
                                    const ReplicaPool& aReplicas,
-                                   ReplicaWish aWish, size_t aMost,
+                                   ReplicaRequirements aWish, size_t aMost,
                                    Millis aNow) {
   std::map<std::string, Targets> byService;
   std::vector<PlannedMove> moves;
--- a/src/librillwall_coordination/move_plan_test.cpp
+++ b/src/librillwall_coordination/move_plan_test.cpp
@@ -25,12 +25,12 @@
   return {aItem, "s", std::move(aReplica), 4, aExpected};
 }
 
-ReplicaWish Wish() {
-  ReplicaWish wish;
+ReplicaRequirements Wish() {
+  ReplicaRequirements wish;
   wish.mZone = "z";
   wish.mModel = "m";
   wish.mMinVersion = 5;
-  wish.mWithinSlots = true;
+  wish.mNeedsFreeSlot = true;
   return wish;
 }
 
@@ -66,8 +66,8 @@
   void SlowOnesMoveToTheFastest() {
     const auto moves = Plan({TextAt(0, "slow")});
     CPPUNIT_ASSERT_EQUAL(size_t{1}, moves.size());
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(160, moves[0].mMove.mPaceHere, 1e-9);
-    CPPUNIT_ASSERT(moves[0].mMove.mPaceThere < 45);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(160, moves[0].mMove.mSourcePace, 1e-9);
+    CPPUNIT_ASSERT(moves[0].mMove.mTargetPace < 45);
   }
 
   void WhoGainsMostGoesFirst() {
@@ -87,7 +87,7 @@
     mPool.Start("fast", "m");
     mPool.Start("fast", "m");
     const auto moves = Plan({TextAt(0, "slow")});
-    CPPUNIT_ASSERT(moves[0].mMove.mPaceThere > 75);
+    CPPUNIT_ASSERT(moves[0].mMove.mTargetPace > 75);
     mPool.Start("typical", "m");
     mPool.Start("typical", "m");
     CPPUNIT_ASSERT(Plan({TextAt(0, "slow")}).empty());
--- a/src/librillwall_coordination/node_directory.cpp
+++ b/src/librillwall_coordination/node_directory.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-void NodeDirectory::Heard(const NodeEntry& aNode, Millis aNow) {
+void NodeDirectory::RecordContact(const NodeEntry& aNode, Millis aNow) {
   mNewest = std::max(mNewest, aNow);
   auto [at, added] = mNodes.try_emplace(aNode.mAddress);
   const bool changed = at->second.mTakesClients != aNode.mTakesClients ||
@@ -139,10 +139,11 @@
   return relays;
 }
 
-void NodeDirectory::HeardOf(const std::vector<NodeEntry>& aNodes, Millis aNow) {
+void NodeDirectory::AddCandidates(const std::vector<NodeEntry>& aNodes,
+                                  Millis aNow) {
   for (const NodeEntry& node : aNodes) {
     if (!node.mTakesClients) {
-      Heard(node, aNow);
+      RecordContact(node, aNow);
     }
   }
 }
--- a/src/librillwall_coordination/node_directory_test.cpp
+++ b/src/librillwall_coordination/node_directory_test.cpp
@@ -49,21 +49,21 @@
   void HostsAreCountedInSteps() {
     CPPUNIT_ASSERT_EQUAL(size_t{16}, mNodes.Hosts());
     for (int i = 0; i < 16; ++i) {
-      mNodes.Heard({"10.0.1." + std::to_string(i) + ":1", true}, kNow);
-      mNodes.Heard({"10.0.2." + std::to_string(i) + ":1", false}, kNow);
+      mNodes.RecordContact({"10.0.1." + std::to_string(i) + ":1", true}, kNow);
+      mNodes.RecordContact({"10.0.2." + std::to_string(i) + ":1", false}, kNow);
     }
     CPPUNIT_ASSERT_EQUAL(size_t{32}, mNodes.Hosts());
-    mNodes.Heard(kEntry, kNow + Millis(9000));
+    mNodes.RecordContact(kEntry, kNow + Millis(9000));
     CPPUNIT_ASSERT_EQUAL(size_t{16}, mNodes.Hosts());
     mNodes.Adopt({kDisk}, kNow);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mNodes.Hosts());
   }
 
   void SilentNodesAreForgotten() {
-    mNodes.Heard(kEntry, kNow + Millis(7000));
+    mNodes.RecordContact(kEntry, kNow + Millis(7000));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mNodes.List().size());
     CPPUNIT_ASSERT(mNodes.Knows(kDisk.mAddress));
-    mNodes.Heard(kEntry, kNow + Millis(9000));
+    mNodes.RecordContact(kEntry, kNow + Millis(9000));
     CPPUNIT_ASSERT(mNodes.List() == std::vector<NodeEntry>{kEntry});
     CPPUNIT_ASSERT(!mNodes.Knows(kDisk.mAddress));
     CPPUNIT_ASSERT(!mNodes.Knows("never heard of"));
@@ -71,9 +71,9 @@
 
   void TagFollowsTheList() {
     const uint64_t tag = mNodes.Tag();
-    mNodes.Heard(kEntry, kNow);
+    mNodes.RecordContact(kEntry, kNow);
     CPPUNIT_ASSERT_EQUAL(tag, mNodes.Tag());
-    mNodes.Heard({"10.0.0.3:1", true}, kNow);
+    mNodes.RecordContact({"10.0.0.3:1", true}, kNow);
     CPPUNIT_ASSERT(tag != mNodes.Tag());
   }
 
@@ -85,10 +85,10 @@
   /// 250 entry hosts and 24 candidates, as at the largest deployment today.
   void HearMany() {
     for (int i = 0; i < 250; ++i) {
-      mNodes.Heard({"10.1.0." + std::to_string(i) + ":1", true}, kNow);
+      mNodes.RecordContact({"10.1.0." + std::to_string(i) + ":1", true}, kNow);
     }
     for (int i = 0; i < 24; ++i) {
-      mNodes.Heard({"10.2.0." + std::to_string(i) + ":1", false}, kNow);
+      mNodes.RecordContact({"10.2.0." + std::to_string(i) + ":1", false}, kNow);
     }
   }
 
@@ -110,7 +110,7 @@
     uint64_t tag = mNodes.Tag();
     int changes = 0;
     for (int i = 0; i < 300; ++i) {
-      mNodes.Heard({"10.3.0." + std::to_string(i) + ":1", true}, kNow);
+      mNodes.RecordContact({"10.3.0." + std::to_string(i) + ":1", true}, kNow);
       changes += mNodes.Tag() == tag ? 0 : 1;
       tag = mNodes.Tag();
     }
@@ -119,10 +119,10 @@
     const std::string named = mNodes.Told().front().mAddress;
     for (const NodeEntry& node : mNodes.List()) {
       if (node.mAddress != named) {
-        mNodes.Heard(node, kNow + Millis(9000));
+        mNodes.RecordContact(node, kNow + Millis(9000));
       }
     }
-    mNodes.Heard(kDisk, kNow + Millis(10000));
+    mNodes.RecordContact(kDisk, kNow + Millis(10000));
     CPPUNIT_ASSERT(mNodes.Told().front().mAddress != named);
     CPPUNIT_ASSERT_EQUAL(size_t{24}, mNodes.Told().size());
     CPPUNIT_ASSERT(tag != mNodes.Tag());
--- a/src/librillwall_coordination/registry_table.cpp
+++ b/src/librillwall_coordination/registry_table.cpp
@@ -131,7 +131,7 @@
 bool RegistryTable::Large() const {
   return std::any_of(mServices.begin(), mServices.end(),
                      [](const auto& aService) {
-                       return aService.second.mAll.size() > kWholeService;
+                       return aService.second.mAll.size() > kFullListLimit;
                      });
 }
 
@@ -164,7 +164,7 @@
 void RegistryTable::AddSubset(const Service& aService,
                               const SubsetQuestion& aQuestion,
                               std::vector<Replica>& aTaken) {
-  const size_t wanted = kUsualSubset;
+  const size_t wanted = kDefaultSubset;
   const auto own = aService.mZones.find(aQuestion.mZone);
   const size_t others =
       aService.mZones.size() - (own == aService.mZones.end() ? 0 : 1);
@@ -191,7 +191,7 @@
     const SubsetQuestion& aQuestion) const {
   std::vector<Replica> taken;
   for (const auto& [name, service] : mServices) {
-    if (service.mAll.size() > kWholeService) {
+    if (service.mAll.size() > kFullListLimit) {
       AddSubset(service, aQuestion, taken);
       continue;
     }
@@ -207,8 +207,9 @@
   std::vector<Replica> taken;
   for (const auto& [name, service] : mServices) {
     const auto wanted = aWanted.find(name);
-    const size_t most = std::max(
-        wanted == aWanted.end() ? kUsualSubset : wanted->second, kWholeService);
+    const size_t most =
+        std::max(wanted == aWanted.end() ? kDefaultSubset : wanted->second,
+                 kFullListLimit);
     if (service.mAll.size() <= most) {
       for (const auto& [place, replica] : service.mAll) {
         taken.push_back(*replica);
--- a/src/librillwall_coordination/registry_table_bench.cpp
+++ b/src/librillwall_coordination/registry_table_bench.cpp
@@ -69,11 +69,11 @@
   Fill(table, static_cast<size_t>(aState.range(0)));
   ReplicaPool pool;
   pool.Update(table.WorkingSet({{"letters-llm", 600}}), false);
-  ReplicaWish wish;
+  ReplicaRequirements wish;
   wish.mService = "letters-llm";
   wish.mModel = "model-1";
   wish.mMinVersion = 1;
-  wish.mWithinSlots = true;
+  wish.mNeedsFreeSlot = true;
   const Millis now(1000);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(pool.Choose(wish, now));
--- a/src/librillwall_coordination/replica_log.cpp
+++ b/src/librillwall_coordination/replica_log.cpp
@@ -27,7 +27,7 @@
   }
   text += std::to_string(aReplica.mSlots);
   text += kFieldEnd;
-  text += std::to_string(aReplica.mBorn);
+  text += std::to_string(aReplica.mStartedAtMs);
   text += aReplica.mDraining ? '-' : '+';
   text += aReplica.mCold ? "c" : "";
   for (const ModelVersion& model : aReplica.mModels) {
@@ -75,7 +75,7 @@
   }
 }
 
-ReplicaDelta ReplicaLog::Since(const ReplicaMark& aMark) const {
+ReplicaDelta ReplicaLog::Since(const ReplicaCursor& aMark) const {
   ReplicaDelta delta;
   delta.mNumber = mNumber;
   delta.mDigest = mDigest;
--- a/src/librillwall_coordination/replica_log_test.cpp
+++ b/src/librillwall_coordination/replica_log_test.cpp
@@ -36,7 +36,7 @@
 
   /// Brings the mirror up to date. \return what was told
   ReplicaDelta Tell() {
-    ReplicaMark mark = mMirror.Mark();
+    ReplicaCursor mark = mMirror.Cursor();
     mark.mNumber = mMirror.Run() == "run" ? mark.mNumber : 0;
     ReplicaDelta delta = mLog.Since(mark);
     CPPUNIT_ASSERT(mMirror.Take("run", delta));
@@ -78,7 +78,7 @@
     const ReplicaDelta earlier{
         7, true, {ReplicaOf("z")}, {}, DigestOf(ReplicaOf("z"))};
     CPPUNIT_ASSERT(mMirror.Take("earlier run", earlier));
-    CPPUNIT_ASSERT_EQUAL(int64_t{7}, mMirror.Mark().mNumber);
+    CPPUNIT_ASSERT_EQUAL(int64_t{7}, mMirror.Cursor().mNumber);
     CPPUNIT_ASSERT(Tell().mFull);
     CPPUNIT_ASSERT(mMirror.All() == std::vector<Replica>{ReplicaOf("a")});
   }
@@ -111,13 +111,13 @@
     ReplicaLog later;
     later.Take({ReplicaOf("c")});
     later.Take({ReplicaOf("b", true), ReplicaOf("a")});
-    const ReplicaMark mark{0, mMirror.Mark().mDigest};
+    const ReplicaCursor mark{0, mMirror.Cursor().mDigest};
     const ReplicaDelta delta = later.Since(mark);
     CPPUNIT_ASSERT(!delta.mFull && delta.mChanged.empty());
     CPPUNIT_ASSERT(mMirror.Take("later", delta));
     // What changes from then on is told by the later run's numbers.
     later.Take({ReplicaOf("b"), ReplicaOf("a")});
-    const ReplicaDelta change = later.Since(mMirror.Mark());
+    const ReplicaDelta change = later.Since(mMirror.Cursor());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, change.mChanged.size());
     CPPUNIT_ASSERT(mMirror.Take("later", change));
     CPPUNIT_ASSERT(mMirror.All() ==
@@ -133,7 +133,7 @@
     mLog.Take({ReplicaOf("a", true), ReplicaOf("b"), ReplicaOf("c")});
     const ReplicaDelta wrong = mLog.Since({missed, 0});
     CPPUNIT_ASSERT(!mMirror.Take("run", wrong));
-    CPPUNIT_ASSERT_EQUAL(int64_t{0}, mMirror.Mark().mNumber);
+    CPPUNIT_ASSERT_EQUAL(int64_t{0}, mMirror.Cursor().mNumber);
     CPPUNIT_ASSERT(Tell().mFull);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mMirror.All().size());
   }
--- a/src/librillwall_coordination/replica_pool.cpp
+++ b/src/librillwall_coordination/replica_pool.cpp
@@ -82,10 +82,10 @@
       state.mReplica = replica;
       continue;
     }
-    if (replica.mBorn < state.mReplica.mBorn) {
+    if (replica.mStartedAtMs < state.mReplica.mStartedAtMs) {
       continue;
     }
-    if (replica.mBorn > state.mReplica.mBorn) {
+    if (replica.mStartedAtMs > state.mReplica.mStartedAtMs) {
       changes.mRestarted.push_back(replica.mId);
       Restart(state, replica);
       continue;
@@ -190,7 +190,7 @@
   return *aState.mService;
 }
 
-bool ReplicaPool::Paused(const State& aState, const ReplicaWish& aWish,
+bool ReplicaPool::Paused(const State& aState, const ReplicaRequirements& aWish,
                          Millis aNow) {
   if (aNow < aState.mPausedUntil) {
     return true;
@@ -214,7 +214,7 @@
   }
 }
 
-bool ReplicaPool::Suits(const State& aState, const ReplicaWish& aWish,
+bool ReplicaPool::Suits(const State& aState, const ReplicaRequirements& aWish,
                         Millis aNow) const {
   const Replica& replica = aState.mReplica;
   if (replica.mService != aWish.mService || replica.mDraining ||
@@ -231,7 +231,7 @@
       replica.VersionOf(aWish.mModel) < aWish.mMinVersion) {
     return false;
   }
-  if (aWish.mWithinSlots && LoadOf(aState, aNow) >= replica.mSlots) {
+  if (aWish.mNeedsFreeSlot && LoadOf(aState, aNow) >= replica.mSlots) {
     return false;
   }
   const auto& excluded = aWish.mExcluded;
@@ -308,7 +308,7 @@
   }
 }
 
-double ReplicaPool::Cost(const State& aState, const ReplicaWish& aWish,
+double ReplicaPool::Cost(const State& aState, const ReplicaRequirements& aWish,
                          Millis aNow) {
   double cost = SlotShare(aState.mReplica, LoadOf(aState, aNow));
   cost +=
@@ -335,13 +335,14 @@
   return cost + (near ? 0 : kOtherZoneTextCost);
 }
 
-std::optional<std::string> ReplicaPool::Choose(const ReplicaWish& aWish,
+std::optional<std::string> ReplicaPool::Choose(const ReplicaRequirements& aWish,
                                                Millis aNow) const {
-  return aWish.mWithinSlots ? ChooseFree(aWish, aNow) : ChooseAny(aWish, aNow);
+  return aWish.mNeedsFreeSlot ? ChooseFree(aWish, aNow)
+                              : ChooseAny(aWish, aNow);
 }
 
-std::optional<std::string> ReplicaPool::ChooseFree(const ReplicaWish& aWish,
-                                                   Millis aNow) const {
+std::optional<std::string> ReplicaPool::ChooseFree(
+    const ReplicaRequirements& aWish, Millis aNow) const {
   const auto found = mServices.find(aWish.mService);
   if (found == mServices.end()) {
     return std::nullopt;
@@ -361,8 +362,8 @@
   return std::nullopt;
 }
 
-std::optional<std::string> ReplicaPool::ChooseAny(const ReplicaWish& aWish,
-                                                  Millis aNow) const {
+std::optional<std::string> ReplicaPool::ChooseAny(
+    const ReplicaRequirements& aWish, Millis aNow) const {
   const auto found = mServices.find(aWish.mService);
   if (found == mServices.end()) {
     return std::nullopt;
@@ -461,8 +462,8 @@
   }
 }
 
-void ReplicaPool::Learn(const std::string& aId, const std::string& aModel,
-                        int64_t aVersion) {
+void ReplicaPool::UpdateVersion(const std::string& aId,
+                                const std::string& aModel, int64_t aVersion) {
   const auto found = mStates.find(aId);
   if (found == mStates.end()) {
     return;
--- a/src/librillwall_coordination/replica_pool_test.cpp
+++ b/src/librillwall_coordination/replica_pool_test.cpp
@@ -23,22 +23,22 @@
   return replica;
 }
 
-ReplicaWish Wish() {
-  ReplicaWish wish;
+ReplicaRequirements Wish() {
+  ReplicaRequirements wish;
   wish.mService = "s";
   wish.mZone = "z";
   return wish;
 }
 
-ReplicaWish ModelWish(int64_t aMinVersion) {
-  ReplicaWish wish = Wish();
+ReplicaRequirements ModelWish(int64_t aMinVersion) {
+  ReplicaRequirements wish = Wish();
   wish.mModel = "m";
   wish.mMinVersion = aMinVersion;
-  wish.mWithinSlots = true;
+  wish.mNeedsFreeSlot = true;
   return wish;
 }
 
-std::string Chosen(const ReplicaPool& aPool, const ReplicaWish& aWish,
+std::string Chosen(const ReplicaPool& aPool, const ReplicaRequirements& aWish,
                    Millis aNow = kNow) {
   return aPool.Choose(aWish, aNow).value_or("none");
 }
@@ -102,7 +102,7 @@
     CPPUNIT_ASSERT(used.size() > 5);
     // Another host begins with another one.
     ReplicaPool other;
-    other.BeginWith(7);
+    other.SetTieBreakOffset(7);
     other.Update(replicas, false);
     CPPUNIT_ASSERT(Chosen(other, Wish()) != *used.begin());
   }
@@ -136,7 +136,7 @@
 
   void ExcludedAreLeftOut() {
     mPool.Update({ReplicaOf("a"), ReplicaOf("b")}, false);
-    ReplicaWish wish = Wish();
+    ReplicaRequirements wish = Wish();
     wish.mExcluded = {"a"};
     CPPUNIT_ASSERT_EQUAL(std::string("b"), Chosen(mPool, wish));
   }
@@ -155,7 +155,7 @@
     mPool.Update({ReplicaOf("a")}, false);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelWish(5)));
     CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(mPool, ModelWish(6)));
-    mPool.Learn("a", "m", 6);
+    mPool.UpdateVersion("a", "m", 6);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelWish(6)));
   }
 
@@ -183,7 +183,7 @@
     mPool.Update({replica}, false);
     mPool.PauseModel("a", "m", kNow + Millis(100));
     CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(mPool, ModelWish(1)));
-    ReplicaWish other = ModelWish(1);
+    ReplicaRequirements other = ModelWish(1);
     other.mModel = "n";
     CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, other));
   }
@@ -200,13 +200,13 @@
   void RestartUnderTheSameIdForgets() {
     ReplicaPool pool;
     Replica replica = ReplicaOf("a");
-    replica.mBorn = 1000;
+    replica.mStartedAtMs = 1000;
     pool.Update({replica}, false);
-    pool.Learn("a", "m", 9);
+    pool.UpdateVersion("a", "m", 9);
     pool.Pause("a", kNow + Millis(5000));
     pool.ObserveLoad("a", 100, kNow);
     pool.Start("a", "m");
-    replica.mBorn = 2000;
+    replica.mStartedAtMs = 2000;
     const ReplicaChanges changes = pool.Update({replica}, false);
     CPPUNIT_ASSERT(changes.mRestarted == std::vector<std::string>{"a"});
     CPPUNIT_ASSERT(changes.mAdded.empty());
@@ -224,10 +224,10 @@
   void EntryOfAnEarlierStartChangesNothing() {
     ReplicaPool pool;
     Replica replica = ReplicaOf("a");
-    replica.mBorn = 2000;
+    replica.mStartedAtMs = 2000;
     pool.Update({replica}, false);
     Replica older = replica;
-    older.mBorn = 1000;
+    older.mStartedAtMs = 1000;
     older.mDraining = true;
     const ReplicaChanges changes = pool.Update({older}, false);
     CPPUNIT_ASSERT(changes.mDraining.empty());
@@ -237,7 +237,7 @@
 
   void KnownVersionDoesNotFall() {
     mPool.Update({ReplicaOf("a")}, false);
-    mPool.Learn("a", "m", 7);
+    mPool.UpdateVersion("a", "m", 7);
     mPool.Update({ReplicaOf("a")}, false);
     CPPUNIT_ASSERT_EQUAL(int64_t{7}, mPool.Find("a")->VersionOf("m"));
   }
--- a/src/librillwall_coordination/rollout_decisions_bench.cpp
+++ b/src/librillwall_coordination/rollout_decisions_bench.cpp
@@ -53,13 +53,13 @@
     }
   }
 
-  ReplicaWish Wish(int aModel) const {
-    ReplicaWish wish;
+  ReplicaRequirements Wish(int aModel) const {
+    ReplicaRequirements wish;
     wish.mService = "letters-llm";
     wish.mZone = "zone0";
     wish.mModel = ModelName(aModel);
     wish.mMinVersion = kVersion - 1;
-    wish.mWithinSlots = true;
+    wish.mNeedsFreeSlot = true;
     return wish;
   }
 
@@ -72,7 +72,7 @@
   const auto replicas = static_cast<size_t>(aState.range(0));
   Fleet fleet(replicas);
   fleet.Fill(replicas, kSlots / 2);
-  const ReplicaWish wish = fleet.Wish(1);
+  const ReplicaRequirements wish = fleet.Wish(1);
   for (auto _ : aState) {
     const std::optional<std::string> chosen =
         fleet.mPool.Choose(wish, fleet.mNow);
@@ -89,7 +89,7 @@
   const auto replicas = static_cast<size_t>(aState.range(0));
   Fleet fleet(replicas);
   fleet.Fill(replicas, kSlots);
-  const ReplicaWish wish = fleet.Wish(1);
+  const ReplicaRequirements wish = fleet.Wish(1);
   for (auto _ : aState) {
     benchmark::DoNotOptimize(fleet.mPool.Choose(wish, fleet.mNow));
   }
--- a/src/librillwall_coordination/rollout_pattern_test.cpp
+++ b/src/librillwall_coordination/rollout_pattern_test.cpp
@@ -50,9 +50,9 @@
 /// Twelve replicas under three trainers.
 class VersionDay {
  public:
-  using Plan = std::vector<LoadPick> (*)(std::vector<LoadCandidate>,
-                                         const std::vector<LoadTarget>&,
-                                         size_t);
+  using Plan = std::vector<PlannedLoad> (*)(std::vector<LoadCandidate>,
+                                            const std::vector<LoadTarget>&,
+                                            size_t);
   explicit VersionDay(Plan aPlan) : mPlan(aPlan) {
     for (int i = 0; i < kReplicas; ++i) {
       LoadCandidate replica;
@@ -149,7 +149,7 @@
     mTexts.push_back({best, aTarget.mModel, mNow + aEvents * kEventMs});
   }
   void StartLoads() {
-    for (const LoadPick& pick : mPlan(mReplicas, mTargets, kLoadsAtOnce)) {
+    for (const PlannedLoad& pick : mPlan(mReplicas, mTargets, kLoadsAtOnce)) {
       const auto at = static_cast<size_t>(std::stoi(pick.mReplica.substr(1)));
       LoadCandidate& replica = mReplicas[at];
       replica.mLoading = ModelVersion{pick.mModel, pick.mVersion};
@@ -177,14 +177,14 @@
 
 /// What PlanLoads answers: each replica belongs to one model and takes each of
 /// its versions.
-std::vector<LoadPick> LoadEachVersion(std::vector<LoadCandidate> aReplicas,
-                                      const std::vector<LoadTarget>& aTargets,
-                                      size_t aAtOnce) {
+std::vector<PlannedLoad> LoadEachVersion(
+    std::vector<LoadCandidate> aReplicas,
+    const std::vector<LoadTarget>& aTargets, size_t aAtOnce) {
   size_t loading = 0;
   for (const LoadCandidate& replica : aReplicas) {
     loading += replica.mLoading ? 1 : 0;
   }
-  std::vector<LoadPick> picks;
+  std::vector<PlannedLoad> picks;
   for (size_t i = 0; i < aReplicas.size(); ++i) {
     const LoadTarget& target = aTargets[i % aTargets.size()];
     if (loading < aAtOnce && !aReplicas[i].mLoading &&
--- a/src/librillwall_coordination/step_ledger.cpp
+++ b/src/librillwall_coordination/step_ledger.cpp
@@ -217,7 +217,7 @@
   group.mAvoid = aRunner;
   RemoveAttempt(
       aGroup, aRunner, aAttempt,
-      aNow + FailurePause(group.mFailures, kGroupPause, kGroupLongestPause));
+      aNow + BackoffDelay(group.mFailures, kGroupPause, kGroupLongestPause));
 }
 
 void StepLedger::RemoveAttempt(size_t aGroup, std::string_view aRunner,
--- a/src/librillwall_coordination/step_runners.cpp
+++ b/src/librillwall_coordination/step_runners.cpp
@@ -21,7 +21,7 @@
   }
   ++record.mFailures;
   record.mNotBefore =
-      aNow + FailurePause(record.mFailures, kRunnerPause, kRunnerLongestPause);
+      aNow + BackoffDelay(record.mFailures, kRunnerPause, kRunnerLongestPause);
 }
 
 void RunnerHealth::Succeeded(std::string_view aRunner) { Forget(aRunner); }
--- a/src/librillwall_coordination/swap_track.cpp
+++ b/src/librillwall_coordination/swap_track.cpp
@@ -67,7 +67,7 @@
 void SwapTrack::Fail(Millis aNow) {
   ++mFailures;
   mPhase = SwapPhase::Due;
-  mNotBefore = aNow + FailurePause(mFailures, mLimits.mRetryPause,
+  mNotBefore = aNow + BackoffDelay(mFailures, mLimits.mRetryPause,
                                    mLimits.mRetryLongest);
 }
 
--- a/src/librillwall_coordination/text_move.cpp
+++ b/src/librillwall_coordination/text_move.cpp
@@ -29,23 +29,23 @@
   return mTokens == 0 ? 0 : aHint * mEvents / mTokens;
 }
 
-int64_t ExpectedRest(int64_t aEvents, int64_t aExpected) {
+int64_t ExpectedRemainingEvents(int64_t aEvents, int64_t aExpected) {
   // Hints are right at the median and far too low for the longest texts. Of
   // lengths with such a tail, one that has come to n events has about n to go.
   return std::max(aExpected - aEvents, aEvents);
 }
 
 double MoveGain(const TextMove& aMove) {
-  if (aMove.mPaceHere == 0 || aMove.mPaceThere == 0) {
+  if (aMove.mSourcePace == 0 || aMove.mTargetPace == 0) {
     return 0;
   }
-  const auto rest =
-      static_cast<double>(ExpectedRest(aMove.mEvents, aMove.mExpected));
-  return rest * (aMove.mPaceHere - aMove.mPaceThere) - kMoveMs;
+  const auto rest = static_cast<double>(
+      ExpectedRemainingEvents(aMove.mEvents, aMove.mExpected));
+  return rest * (aMove.mSourcePace - aMove.mTargetPace) - kMoveMs;
 }
 
 bool MovePays(const TextMove& aMove) {
-  return aMove.mPaceHere >= aMove.mPaceThere * kLeastRatio &&
+  return aMove.mSourcePace >= aMove.mTargetPace * kLeastRatio &&
          MoveGain(aMove) >= kLeastGainMs;
 }
 
--- a/src/librillwall_coordination/text_move_test.cpp
+++ b/src/librillwall_coordination/text_move_test.cpp
@@ -46,8 +46,8 @@
   }
 
   void OverdueTextIsExpectedToGoOn() {
-    CPPUNIT_ASSERT_EQUAL(int64_t{70}, ExpectedRest(10, 80));
-    CPPUNIT_ASSERT_EQUAL(int64_t{90}, ExpectedRest(90, 80));
+    CPPUNIT_ASSERT_EQUAL(int64_t{70}, ExpectedRemainingEvents(10, 80));
+    CPPUNIT_ASSERT_EQUAL(int64_t{90}, ExpectedRemainingEvents(90, 80));
   }
 
   void BatchesOfOneSpeedAreAlike() {
--- a/src/librillwall_coordination/usage_meter.cpp
+++ b/src/librillwall_coordination/usage_meter.cpp
@@ -38,7 +38,7 @@
   mTallies.erase(mTallies.begin(), mTallies.lower_bound(oldest));
 }
 
-WindowCounts UsageMeter::Untold(const std::string& aRun) {
+WindowCounts UsageMeter::UnreportedCounts(const std::string& aRun) {
   if (aRun != mRun) {
     mRun = aRun;
     for (auto& [window, tally] : mTallies) {
@@ -61,29 +61,29 @@
   }
 }
 
-bool UsageMeter::AllTold() const {
+bool UsageMeter::AllReported() const {
   return std::all_of(mTallies.begin(), mTallies.end(), [](const auto& aEntry) {
     return aEntry.second.mTold == aEntry.second.mChanges;
   });
 }
 
-void UsageBook::Told(const std::string& aRun, const WindowCounts& aCounts) {
+void UsageTotals::Told(const std::string& aRun, const WindowCounts& aCounts) {
   for (const auto& [window, counts] : aCounts) {
     mCounts[aRun][window] = counts;
   }
 }
 
-void UsageBook::Heard(const std::string& aAddress, Millis aNow) {
+void UsageTotals::RecordContact(const std::string& aAddress, Millis aNow) {
   mHeard[aAddress] = aNow;
 }
 
-bool UsageBook::AllHeardSince(Millis aSince, Millis aNow) const {
+bool UsageTotals::AllHeardSince(Millis aSince, Millis aNow) const {
   return std::all_of(mHeard.begin(), mHeard.end(), [&](const auto& aEntry) {
     return aEntry.second >= aSince || aNow - aEntry.second > kGone;
   });
 }
 
-AccountCounts UsageBook::Sum(int64_t aWindow) const {
+AccountCounts UsageTotals::Sum(int64_t aWindow) const {
   AccountCounts sum;
   for (const auto& [run, windows] : mCounts) {
     const auto found = windows.find(aWindow);
@@ -97,13 +97,13 @@
   return sum;
 }
 
-size_t UsageBook::Tellers(int64_t aWindow) const {
+size_t UsageTotals::ReporterCount(int64_t aWindow) const {
   return static_cast<size_t>(std::count_if(
       mCounts.begin(), mCounts.end(),
       [&](const auto& aEntry) { return aEntry.second.contains(aWindow); }));
 }
 
-void UsageBook::Forget(int64_t aWindow, Millis aNow) {
+void UsageTotals::Forget(int64_t aWindow, Millis aNow) {
   for (auto& [run, windows] : mCounts) {
     windows.erase(windows.begin(), windows.lower_bound(aWindow));
   }
--- a/src/librillwall_coordination/usage_meter_test.cpp
+++ b/src/librillwall_coordination/usage_meter_test.cpp
@@ -48,83 +48,83 @@
     meter.Count("b", kBegin + 1);
     meter.Count("a", kBegin + 5000);
     const WindowCounts expected{{100, {{"a", 2}, {"b", 1}}}, {101, {{"a", 1}}}};
-    CPPUNIT_ASSERT(expected == meter.Untold("lead"));
+    CPPUNIT_ASSERT(expected == meter.UnreportedCounts("lead"));
     CPPUNIT_ASSERT_EQUAL(kBegin + 5000, meter.EndOf(100));
   }
 
   void CountsNothingWithoutWindows() {
     UsageMeter meter;
     meter.Count("a", kBegin);
-    CPPUNIT_ASSERT(meter.Untold("lead").empty());
-    CPPUNIT_ASSERT(meter.AllTold());
+    CPPUNIT_ASSERT(meter.UnreportedCounts("lead").empty());
+    CPPUNIT_ASSERT(meter.AllReported());
   }
 
   void RequestsWithoutAnAccountStandOutside() {
     UsageMeter meter = Meter();
     meter.Count("", kBegin);
-    CPPUNIT_ASSERT(meter.Untold("lead").empty());
+    CPPUNIT_ASSERT(meter.UnreportedCounts("lead").empty());
   }
 
   void WhatWasTakenIsNotToldAgain() {
     UsageMeter meter = Meter();
     meter.Count("a", kBegin);
-    CPPUNIT_ASSERT(!meter.AllTold());
-    meter.Untold("lead");
+    CPPUNIT_ASSERT(!meter.AllReported());
+    meter.UnreportedCounts("lead");
     meter.Told();
-    CPPUNIT_ASSERT(meter.AllTold());
-    CPPUNIT_ASSERT(meter.Untold("lead").empty());
+    CPPUNIT_ASSERT(meter.AllReported());
+    CPPUNIT_ASSERT(meter.UnreportedCounts("lead").empty());
     meter.Count("b", kBegin);
     const WindowCounts whole{{100, {{"a", 1}, {"b", 1}}}};
-    CPPUNIT_ASSERT(whole == meter.Untold("lead"));
+    CPPUNIT_ASSERT(whole == meter.UnreportedCounts("lead"));
   }
 
   void WhatGotNoAnswerIsToldAgain() {
     UsageMeter meter = Meter();
     meter.Count("a", kBegin);
-    const WindowCounts first = meter.Untold("lead");
-    CPPUNIT_ASSERT(first == meter.Untold("lead"));
+    const WindowCounts first = meter.UnreportedCounts("lead");
+    CPPUNIT_ASSERT(first == meter.UnreportedCounts("lead"));
   }
 
   void CountedWhileAskingIsToldNext() {
     UsageMeter meter = Meter();
     meter.Count("a", kBegin);
-    meter.Untold("lead");
+    meter.UnreportedCounts("lead");
     meter.Count("a", kBegin);
     meter.Told();
-    CPPUNIT_ASSERT(!meter.AllTold());
+    CPPUNIT_ASSERT(!meter.AllReported());
     const WindowCounts whole{{100, {{"a", 2}}}};
-    CPPUNIT_ASSERT(whole == meter.Untold("lead"));
+    CPPUNIT_ASSERT(whole == meter.UnreportedCounts("lead"));
   }
 
   void NewLeadIsToldEverythingKept() {
     UsageMeter meter = Meter();
     meter.Count("a", kBegin);
-    const WindowCounts all = meter.Untold("lead");
+    const WindowCounts all = meter.UnreportedCounts("lead");
     meter.Told();
-    CPPUNIT_ASSERT(all == meter.Untold("other lead"));
+    CPPUNIT_ASSERT(all == meter.UnreportedCounts("other lead"));
   }
 
   void OldWindowsAreForgotten() {
     UsageMeter meter = Meter();
     meter.Count("a", kBegin);
     meter.Count("a", kBegin + 20 * kWindow.Count());
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, meter.Untold("lead").size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, meter.UnreportedCounts("lead").size());
   }
 
   void TellingTwiceChangesNothing() {
-    UsageBook book;
+    UsageTotals book;
     const WindowCounts counts{{100, {{"a", 2}}}};
     book.Told("h1", counts);
     book.Told("h1", counts);
     book.Told("h2", {{100, {{"a", 1}, {"b", 4}}}});
     const AccountCounts expected{{"a", 3}, {"b", 4}};
     CPPUNIT_ASSERT(expected == book.Sum(100));
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, book.Tellers(100));
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, book.ReporterCount(100));
     CPPUNIT_ASSERT(book.Sum(99).empty());
   }
 
   void RestartedHostCountsBesideItsFormerSelf() {
-    UsageBook book;
+    UsageTotals book;
     book.Told("h1 first", {{100, {{"a", 2}}}});
     book.Told("h1 second", {{100, {{"a", 1}}}});
     CPPUNIT_ASSERT_EQUAL(int64_t{3}, book.Sum(100).at("a"));
@@ -132,11 +132,11 @@
 
   /// A host that is cut off for some seconds while a window ends.
   void SilentHostIsWaitedForUntilItIsGone() {
-    UsageBook book;
-    book.Heard("h1", Millis(1000));
-    book.Heard("h2", Millis(3000));
+    UsageTotals book;
+    book.RecordContact("h1", Millis(1000));
+    book.RecordContact("h2", Millis(3000));
     CPPUNIT_ASSERT(!book.AllHeardSince(Millis(2000), Millis(3000)));
-    book.Heard("h1", Millis(3500));
+    book.RecordContact("h1", Millis(3500));
     CPPUNIT_ASSERT(book.AllHeardSince(Millis(2000), Millis(3500)));
     CPPUNIT_ASSERT(book.AllHeardSince(Millis(60000), Millis(90000)));
     book.Forget(100, Millis(90000));
@@ -155,13 +155,14 @@
           std::vector<int64_t> made(kHosts, 0);
           int64_t ended = 0;  // of processes that have ended, as told
           std::vector<int64_t> told(kHosts, 0);
-          UsageBook book;
+          UsageTotals book;
           int lead = 0;
           const auto run = [&](size_t aHost) {
             return std::to_string(aHost) + "/" + std::to_string(starts[aHost]);
           };
           const auto ask = [&](size_t aHost, bool aAnswered) {
-            book.Told(run(aHost), hosts[aHost].Untold(std::to_string(lead)));
+            book.Told(run(aHost),
+                      hosts[aHost].UnreportedCounts(std::to_string(lead)));
             told[aHost] = made[aHost];
             if (aAnswered) {
               hosts[aHost].Told();
@@ -186,7 +187,7 @@
                 break;
               case 4:  // another host leads, which has heard nothing yet
                 ++lead;
-                book = UsageBook();
+                book = UsageTotals();
                 ended = 0;
                 told.assign(kHosts, 0);
                 break;
--- a/src/librillwall_coordination/view_plan.cpp
+++ b/src/librillwall_coordination/view_plan.cpp
@@ -55,7 +55,9 @@
 ViewPlan::ViewPlan(Millis aBound, uint64_t aSeed)
     : mBound(aBound), mJitter(aSeed) {}
 
-Millis ViewPlan::PollEvery() const { return mBound * kPollPercent / kPercent; }
+Millis ViewPlan::PollInterval() const {
+  return mBound * kPollPercent / kPercent;
+}
 
 Millis ViewPlan::AskEvery() const { return mBound * kAskPercent / kPercent; }
 
@@ -71,13 +73,13 @@
   if (aExpectLead) {
     mListedAt = aNow;
     Of(ViewSource::LookUp).mFrom =
-        aNow + kFirstClaim + mJitter.UpTo(kFirstClaim);
+        aNow + kFirstClaim + mJitter.FullJitter(kFirstClaim);
   }
-  Of(ViewSource::Store).mFrom = aNow + mJitter.UpTo(kLonely);
+  Of(ViewSource::Store).mFrom = aNow + mJitter.FullJitter(kLonely);
 }
 
 void ViewPlan::LeadChanged(Millis aNow) {
-  Of(ViewSource::Lead) = {0, aNow + mJitter.HalfToAll(kNewLeadSpread)};
+  Of(ViewSource::Lead) = {0, aNow + mJitter.EqualJitter(kNewLeadSpread)};
 }
 
 void ViewPlan::AskNow(Millis aNow) {
@@ -127,11 +129,13 @@
   const Millis listed = aAsked - aAge;
   mListedAt = mListedAt ? std::max(*mListedAt, listed) : listed;
   if (!Fresh(aNow)) {
-    Away(aSource, aNow);
+    RecordStoreUnreachable(aSource, aNow);
     return;
   }
-  const Millis period = aSource == ViewSource::Store ? PollEvery() : AskEvery();
-  const Millis again = aAsked + period * 9 / 10 + mJitter.HalfToAll(period / 5);
+  const Millis period =
+      aSource == ViewSource::Store ? PollInterval() : AskEvery();
+  const Millis again =
+      aAsked + period * 9 / 10 + mJitter.EqualJitter(period / 5);
   Of(aSource) = {0, again};
   // One telling is enough for a period; the store is left to others.
   Standing& helper = Of(ViewSource::Helper);
@@ -140,17 +144,17 @@
   lookUp.mFrom = std::max(lookUp.mFrom, again);
 }
 
-void ViewPlan::Away(ViewSource aSource, Millis aNow) {
-  Missed(aSource, aNow);
+void ViewPlan::RecordStoreUnreachable(ViewSource aSource, Millis aNow) {
+  RecordMiss(aSource, aNow);
   Standing& store = Of(ViewSource::Store);
-  store.mFrom = std::max(store.mFrom, aNow + mJitter.HalfToAll(kAwayPause));
+  store.mFrom = std::max(store.mFrom, aNow + mJitter.EqualJitter(kAwayPause));
 }
 
 void ViewPlan::LeadFound(Millis aNow) {
-  Of(ViewSource::LookUp) = {0, aNow + mJitter.HalfToAll(kStorePause)};
+  Of(ViewSource::LookUp) = {0, aNow + mJitter.EqualJitter(kStorePause)};
 }
 
-void ViewPlan::Missed(ViewSource aSource, Millis aNow) {
+void ViewPlan::RecordMiss(ViewSource aSource, Millis aNow) {
   Standing& standing = Of(aSource);
   ++standing.mMisses;
   const bool ofStore =
@@ -159,8 +163,8 @@
   const int64_t times =
       aSource == ViewSource::Lead ? kLongestLeadTimes : kLongestHelperTimes;
   const Millis most = ofStore ? kLongestStorePause : AskEvery() * times;
-  const Millis pause = FailurePause(standing.mMisses, first, most);
-  standing.mFrom = aNow + mJitter.HalfToAll(pause);
+  const Millis pause = BackoffDelay(standing.mMisses, first, most);
+  standing.mFrom = aNow + mJitter.EqualJitter(pause);
   if (aSource == ViewSource::Lead && standing.mMisses == 1) {
     // The helper is asked at once, whatever it told before.
     Standing& helper = Of(ViewSource::Helper);
--- a/src/librillwall_coordination/view_plan_test.cpp
+++ b/src/librillwall_coordination/view_plan_test.cpp
@@ -122,7 +122,7 @@
   void GiveUp(Host& aHost) {
     if (aHost.mAsked && mNow - *aHost.mAsked >= aHost.mPlan.Limit()) {
       aHost.mAsked.reset();
-      aHost.mPlan.Missed(ViewSource::Lead, mNow);
+      aHost.mPlan.RecordMiss(ViewSource::Lead, mNow);
       ++mUnanswered;
     }
   }
@@ -147,7 +147,7 @@
 
   void AskLead(Host& aHost) {
     if (!mLeadReachable) {
-      aHost.mPlan.Missed(ViewSource::Lead, mNow);
+      aHost.mPlan.RecordMiss(ViewSource::Lead, mNow);
       return;
     }
     aHost.mAsked = mNow;
@@ -172,7 +172,7 @@
 
   void AskStore(Host& aHost, ViewSource aSource) {
     if (!mStoreAnswers) {
-      aHost.mPlan.Missed(aSource, mNow);
+      aHost.mPlan.RecordMiss(aSource, mNow);
     } else if (aSource == ViewSource::LookUp) {
       aHost.mKnowsLead = true;
       aHost.mPlan.LeadFound(mNow);
@@ -226,7 +226,7 @@
     Millis now = kStart + Millis(1400);
     Millis longest;
     for (int i = 0; i < 8; ++i) {
-      plan.Missed(ViewSource::Lead, now);
+      plan.RecordMiss(ViewSource::Lead, now);
       const Millis missed = now;
       while (plan.Next(contacts, now) != ViewSource::Lead) {
         now += kTick;
--- a/src/librillwall_protocol/crash_record.cpp
+++ b/src/librillwall_protocol/crash_record.cpp
@@ -8,7 +8,7 @@
   object["replica"] = aRecord.mReplica;
   object["at_ms"] = aRecord.mAtMs;
   object["cleared"] = aRecord.mCleared;
-  object["what"] = aRecord.mWhat;
+  object["what"] = aRecord.mDescription;
   return object;
 }
 
@@ -24,7 +24,7 @@
   record.mReplica = aReader.String("replica");
   record.mAtMs = aReader.Int("at_ms");
   record.mCleared = aReader.Bool("cleared");
-  record.mWhat = aReader.String("what", "");
+  record.mDescription = aReader.String("what", "");
   return record;
 }
 
--- a/src/librillwall_protocol/shared_view.cpp
+++ b/src/librillwall_protocol/shared_view.cpp
@@ -45,8 +45,8 @@
   if (aReplica.mCold) {
     object["cold"] = true;
   }
-  if (aReplica.mBorn != 0) {
-    object["born"] = aReplica.mBorn;
+  if (aReplica.mStartedAtMs != 0) {
+    object["born"] = aReplica.mStartedAtMs;
   }
   if (!models.empty()) {
     object["models"] = std::move(models);
@@ -63,7 +63,7 @@
   replica.mSlots = aReader.Int("slots");
   replica.mDraining = aReader.Bool("draining");
   replica.mCold = aReader.Bool("cold", false);
-  replica.mBorn = aReader.Int("born", 0);
+  replica.mStartedAtMs = aReader.Int("born", 0);
   const json::object* models = aReader.Object("models");
   if (models == nullptr) {
     return replica;
--- a/src/librillwall_rollout/crash_guard.cpp
+++ b/src/librillwall_rollout/crash_guard.cpp
@@ -16,9 +16,9 @@
 
 /// \return the name of one start of a replica: it may keep its id
 std::string StartOf(const Replica& aReplica) {
-  return aReplica.mBorn == 0
+  return aReplica.mStartedAtMs == 0
              ? aReplica.mId
-             : aReplica.mId + '@' + std::to_string(aReplica.mBorn);
+             : aReplica.mId + '@' + std::to_string(aReplica.mStartedAtMs);
 }
 
 void LogRecord(const NodeContext& aNode, const CrashRecord& aRecord,
@@ -29,7 +29,7 @@
       .Id(aId)
       .Text("request", aRecord.mRequest.Text())
       .Text("replica", aRecord.mReplica)
-      .Text("what", aRecord.mWhat)
+      .Text("what", aRecord.mDescription)
       .Number("crashes",
               static_cast<int64_t>(crashes.Crashes(aRecord.mRequest)))
       .Flag("held", crashes.Held(aRecord.mRequest))
@@ -67,7 +67,7 @@
                   std::string aWhat) {
   const CrashRecord record{aRequest, StartOf(aReplica), aNode.mTimeOfDay(),
                            false, std::move(aWhat)};
-  if (aNode.mCrashes.Blame(record)) {
+  if (aNode.mCrashes.AddCrash(record)) {
     aNode.mMetrics.Count("crash_records_total", "outcome=\"suspected\"");
     LogRecord(aNode, record, aId, "here");
   }
--- a/src/librillwall_rollout/crash_sync.cpp
+++ b/src/librillwall_rollout/crash_sync.cpp
@@ -62,7 +62,7 @@
       mTellsOthers(std::move(aTellsOthers)),
       mSaveWake(aNode.mIo),
       mFollowWake(aNode.mIo) {
-  mNode.mCrashes.mOnOwnNews = [this] { mSaveWake.cancel(); };
+  mNode.mCrashes.mOnLocalChange = [this] { mSaveWake.cancel(); };
 }
 
 asio::awaitable<void> CrashSync::Save() {
@@ -87,7 +87,7 @@
         co_await mNode.mStore.Commit(std::move(change));
     if (done && done->mApplied) {
       failures = 0;
-      mNode.mCrashes.Saved(records);
+      mNode.mCrashes.MarkSaved(records);
       continue;
     }
     // A change that may have been made is the same when it is made again.
@@ -96,8 +96,8 @@
         .Number("records", static_cast<int64_t>(records.size()))
         .Text("why", done ? "not applied" : done.error().Detail())
         .Write();
-    const Millis pause = FailurePause(failures, kFirstPause, kLongestPause);
-    co_await Sleep(mNode.mIo, mJitter.HalfToAll(pause));
+    const Millis pause = BackoffDelay(failures, kFirstPause, kLongestPause);
+    co_await Sleep(mNode.mIo, mJitter.EqualJitter(pause));
   }
 }
 
@@ -147,8 +147,8 @@
     failures = read ? 0 : failures + 1;
     if (!read) {
       const Millis pause =
-          FailurePause(failures, kFirstReadPause, kLongestReadPause);
-      co_await Rest(mFollowWake, mJitter.HalfToAll(pause));
+          BackoffDelay(failures, kFirstReadPause, kLongestReadPause);
+      co_await Rest(mFollowWake, mJitter.EqualJitter(pause));
     }
   }
 }
--- a/src/librillwall_rollout/crash_sync_test.cpp
+++ b/src/librillwall_rollout/crash_sync_test.cpp
@@ -59,10 +59,10 @@
   void OtherHostsLearnThroughTheStore() {
     Host seer(mWorld, "seer", false);
     Host lead(mWorld, "lead", true);
-    seer.Crashes().Blame(Record("/p", "r1"));
-    RunUntil(seer, lead, [&] { return lead.Crashes().AnySuspect(); });
+    seer.Crashes().AddCrash(Record("/p", "r1"));
+    RunUntil(seer, lead, [&] { return lead.Crashes().HasSuspects(); });
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mWorld.mStore.CountOf(CrashPrefix()));
-    seer.Crashes().Blame(Record("/p", "r2"));
+    seer.Crashes().AddCrash(Record("/p", "r2"));
     RunUntil(seer, lead,
              [&] { return lead.Crashes().Crashes(Named("/p")) == 2; });
     CPPUNIT_ASSERT(lead.Crashes().Unsaved(9).empty());
@@ -75,7 +75,7 @@
     }
     Host lead(mWorld, "lead", false);
     lead.mTest.RunFor(Millis(20));
-    CPPUNIT_ASSERT(!lead.Crashes().AnySuspect());
+    CPPUNIT_ASSERT(!lead.Crashes().HasSuspects());
     lead.mTells = true;
     lead.mSync.Wake();
     lead.mTest.RunUntil([&] { return lead.Crashes().Held(Named("/p")); });
@@ -85,9 +85,9 @@
     Host one(mWorld, "one", false);
     Host other(mWorld, "other", false);
     Host lead(mWorld, "lead", true);
-    one.Crashes().Blame(Record("/p", "r1"));
-    other.Crashes().Blame(Record("/p", "r2"));
-    lead.Crashes().Blame(Record("/p", "r3"));
+    one.Crashes().AddCrash(Record("/p", "r1"));
+    other.Crashes().AddCrash(Record("/p", "r2"));
+    lead.Crashes().AddCrash(Record("/p", "r3"));
     RunUntil(one, other, [&] {
       lead.mTest.mIo.poll();
       lead.mTest.mIo.restart();
@@ -99,7 +99,7 @@
   void NewsOutlivesAnOutage() {
     Host seer(mWorld, "seer", false);
     mWorld.mStore.mDown = true;
-    seer.Crashes().Blame(Record("/p", "r1"));
+    seer.Crashes().AddCrash(Record("/p", "r1"));
     seer.mTest.RunFor(Millis(300));
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mWorld.mStore.CountOf(CrashPrefix()));
     mWorld.mStore.mDown = false;
@@ -110,7 +110,7 @@
   void LostAnswerIsWrittenAgain() {
     Host seer(mWorld, "seer", false);
     mWorld.mStore.mFaults = {StoreFault::LostDropped, StoreFault::LostApplied};
-    seer.Crashes().Blame(Record("/p", "r1"));
+    seer.Crashes().AddCrash(Record("/p", "r1"));
     seer.mTest.RunUntil([&] { return seer.Crashes().Unsaved(9).empty(); });
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mWorld.mStore.CountOf(CrashPrefix()));
   }
@@ -118,10 +118,10 @@
   void ClearedIsLearntToo() {
     Host seer(mWorld, "seer", false);
     Host lead(mWorld, "lead", true);
-    seer.Crashes().Blame(Record("/p", "r1"));
-    RunUntil(seer, lead, [&] { return lead.Crashes().AnySuspect(); });
+    seer.Crashes().AddCrash(Record("/p", "r1"));
+    RunUntil(seer, lead, [&] { return lead.Crashes().HasSuspects(); });
     seer.Crashes().Clear(Named("/p"));
-    RunUntil(seer, lead, [&] { return !lead.Crashes().AnySuspect(); });
+    RunUntil(seer, lead, [&] { return !lead.Crashes().HasSuspects(); });
   }
 
   void CalmHostCallsNothing() {
@@ -144,12 +144,12 @@
     mWorld.mStore.Write(CrashPrefix() + "0/broken", "{");
     mWorld.mStore.Write(CrashKey(record), EncodeCrash(record));
     Host lead(mWorld, "lead", true);
-    lead.mTest.RunUntil([&] { return lead.Crashes().AnySuspect(); });
+    lead.mTest.RunUntil([&] { return lead.Crashes().HasSuspects(); });
   }
 
   void SweepRemovesTheOld() {
     CrashRecord old = Record("/old", "r1");
-    old.mAtMs -= CrashTable::kRememberFor.Count() + 1000;
+    old.mAtMs -= CrashTable::kRecordLifetime.Count() + 1000;
     const CrashRecord young = Record("/young", "r1");
     mWorld.mStore.Write(CrashKey(old), EncodeCrash(old));
     mWorld.mStore.Write(CrashKey(young), EncodeCrash(young));
--- a/src/librillwall_rollout/item_hold_test.cpp
+++ b/src/librillwall_rollout/item_hold_test.cpp
@@ -90,7 +90,7 @@
   void ItemThatEndsReplicasIsBlamed() {
     mEngine.mOtherwise.mEnds = true;
     Accept();
-    mTest.RunUntil([&] { return Crashes().AnySuspect(); });
+    mTest.RunUntil([&] { return Crashes().HasSuspects(); });
     CPPUNIT_ASSERT(Crashes().Crashes(ItemDigest("bad")) +
                        Crashes().Crashes(ItemDigest("good")) >
                    0);
@@ -102,7 +102,7 @@
     mTest.RunFor(Millis(200));
     mEngine.Stop();
     mTest.RunFor(Millis(200));
-    CPPUNIT_ASSERT(!Crashes().AnySuspect());
+    CPPUNIT_ASSERT(!Crashes().HasSuspects());
   }
 
   void HeldItemIsSetAside() {
@@ -127,7 +127,7 @@
     Tell(ItemDigest("bad"), 2);
     Accept();
     Listed(2);
-    CPPUNIT_ASSERT(!Crashes().AnySuspect());
+    CPPUNIT_ASSERT(!Crashes().HasSuspects());
   }
 
   void HeldScorerIsNotCalled() {
--- a/src/librillwall_rollout/item_run.cpp
+++ b/src/librillwall_rollout/item_run.cpp
@@ -145,7 +145,7 @@
 bool TakeVersion(NodeContext& aNode, RolloutStep& aStep, size_t aItem,
                  const Replica& aReplica, int64_t aVersion) {
   const std::string& model = aStep.mBook.Spec().mModel;
-  aNode.mReplicas.Learn(aReplica.mId, model, aVersion);
+  aNode.mReplicas.UpdateVersion(aReplica.mId, model, aVersion);
   RolloutText& text = aStep.mBook.Text(aItem);
   if (VersionFits(aStep, text, aVersion)) {
     return true;
@@ -259,7 +259,7 @@
 
 bool ItemHeld(const NodeContext& aNode, RolloutStep& aStep, size_t aItem) {
   const CrashTable& crashes = aNode.mCrashes;
-  return crashes.AnySuspect() && crashes.Held(DigestOf(aStep, aItem));
+  return crashes.HasSuspects() && crashes.Held(DigestOf(aStep, aItem));
 }
 
 asio::awaitable<bool> LearnFromRun(NodeContext& aNode, RolloutStep& aStep,
@@ -267,7 +267,7 @@
                                    ItemRunEnd aEnd, int64_t aEvents) {
   const std::string& id = aStep.mBook.Item(aItem).mId;
   const bool lived = aEnd == ItemRunEnd::Whole || aEvents >= kBegunEvents;
-  if (lived && aNode.mCrashes.AnySuspect()) {
+  if (lived && aNode.mCrashes.HasSuspects()) {
     ClearRequest(aNode, DigestOf(aStep, aItem), id);
   }
   if (lived || aEnd != ItemRunEnd::Closed) {
--- a/src/librillwall_rollout/lead_claim.cpp
+++ b/src/librillwall_rollout/lead_claim.cpp
@@ -225,7 +225,7 @@
 }
 
 asio::awaitable<void> LeadClaim::AwaitAndClaim() {
-  co_await Sleep(mNode.mIo, mJitter.UpTo(kClaimSpread));
+  co_await Sleep(mNode.mIo, mJitter.FullJitter(kClaimSpread));
   const std::optional<Holding> holding = co_await ClaimIfFree();
   if (!holding) {
     co_return;
--- a/src/librillwall_rollout/rollout_listing.cpp
+++ b/src/librillwall_rollout/rollout_listing.cpp
@@ -36,8 +36,8 @@
   const RolloutBook& book = aStep.mBook;
   ListingState state;
   state.mAllEnded = book.AllEnded();
-  state.mReached = book.TargetReached();
-  state.mReachedListed = aStep.mReachedListed;
+  state.mTargetReached = book.TargetReached();
+  state.mTargetReachedAtLastWrite = aStep.mTargetReachedAtLastWrite;
   state.mWaited = aNow - aStep.mGatherFrom.value_or(aNow);
   state.mHasDue = aStep.mDueAt.has_value();
   state.mPastDue = aNow - aStep.mDueAt.value_or(aNow);
@@ -83,7 +83,7 @@
   }
   const bool texts = now - aStep->mWrittenAt >= kKeepEvery &&
                      aStep->mBook.HasUnkept(kWorthKeeping);
-  const bool list = results && ListNow(StateOf(*aStep, now));
+  const bool list = results && ShouldWriteResults(StateOf(*aStep, now));
   if (texts || list) {
     aStep->mFlushing = true;
     Launch(mNode.mIo, "flush", Flush(aStep, list));
@@ -97,7 +97,7 @@
   if (aList) {
     waiting = aStep->mBook.TakeUnlisted();
     aStep->mGatherFrom.reset();
-    aStep->mReachedListed = aStep->mBook.TargetReached();
+    aStep->mTargetReachedAtLastWrite = aStep->mBook.TargetReached();
   }
   bool first = true;
   while (aStep->mRunning && (first || !waiting.empty())) {
@@ -133,7 +133,7 @@
         .Number("unfinished", static_cast<int64_t>(parts.size()))
         .Number("whole_groups",
                 static_cast<int64_t>(aStep->mBook.WholeGroups()))
-        .Flag("reached", aStep->mReachedListed)
+        .Flag("reached", aStep->mTargetReachedAtLastWrite)
         .Number("store_ms", (mNode.Now() - asked).Count())
         .Write();
     mNode.mMetrics.Measure("page_ms", mNode.Now() - asked);
--- a/src/librillwall_rollout/rollout_run.cpp
+++ b/src/librillwall_rollout/rollout_run.cpp
@@ -84,9 +84,10 @@
   const auto whole = [](double aMs) {
     return std::to_string(std::llround(aMs));
   };
-  return whole(aMove.mPaceHere) + " ms an event here, " +
-         whole(aMove.mPaceThere) + " there, " +
-         std::to_string(ExpectedRest(aMove.mEvents, aMove.mExpected)) +
+  return whole(aMove.mSourcePace) + " ms an event here, " +
+         whole(aMove.mTargetPace) + " there, " +
+         std::to_string(
+             ExpectedRemainingEvents(aMove.mEvents, aMove.mExpected)) +
          " to come";
 }
 
@@ -112,12 +113,12 @@
   return PickService(aStep.mRoute, std::hash<std::string>()(group));
 }
 
-ReplicaWish RolloutService::WishOf(const RolloutStep& aStep) const {
-  ReplicaWish wish;
+ReplicaRequirements RolloutService::WishOf(const RolloutStep& aStep) const {
+  ReplicaRequirements wish;
   wish.mZone = mNode.mIdentity.mZone;
   wish.mModel = aStep.mBook.Spec().mModel;
   wish.mMinVersion = aStep.mBook.Spec().mMinVersion;
-  wish.mWithinSlots = true;
+  wish.mNeedsFreeSlot = true;
   wish.mRegions = RegionsOf(*mNode.mRoutes.Read(), aStep.mRoute,
                             aStep.mBook.Spec().mAccount);
   return wish;
@@ -129,7 +130,7 @@
   if (service == nullptr) {
     return std::nullopt;
   }
-  ReplicaWish wish = WishOf(aStep);
+  ReplicaRequirements wish = WishOf(aStep);
   wish.mService = *service;
   if (!aPick.mAvoid.empty()) {
     wish.mExcluded.push_back(aPick.mAvoid);
--- a/src/librillwall_rollout/rollout_step.h
+++ b/src/librillwall_rollout/rollout_step.h
@@ -59,11 +59,12 @@
   StepRecord mRecord;
   int64_t mRevision;                   ///< of the record; guards every append
   std::vector<RolloutResult> mListed;  ///< in the store, by position
-  bool mReachedListed = false;  ///< its target was reached at the last page
-  bool mRunning = true;         ///< owned here, and not ended
-  bool mAccepted = true;        ///< the store holds its record
-  bool mFlushing = false;       ///< results or texts are being written
-  bool mUnsettled = false;      ///< a page may or may not be in the store
+  bool mTargetReachedAtLastWrite =
+      false;                ///< its target was reached at the last page
+  bool mRunning = true;     ///< owned here, and not ended
+  bool mAccepted = true;    ///< the store holds its record
+  bool mFlushing = false;   ///< results or texts are being written
+  bool mUnsettled = false;  ///< a page may or may not be in the store
   std::map<size_t, HttpStream*> mStreams;  ///< by item
   /// Items whose stream is ended to go elsewhere, and why.
   std::map<size_t, std::string> mMoving;
--- a/src/librillwall_rollout/suspects.cpp
+++ b/src/librillwall_rollout/suspects.cpp
@@ -25,7 +25,7 @@
       aNode.mCrashes.HeldFor(aSuspect.mRequest, aNode.mTimeOfDay());
   json::object row;
   row["request"] = aSuspect.mRequest.Text();
-  row["what"] = aSuspect.mRecords.front().mWhat;
+  row["what"] = aSuspect.mRecords.front().mDescription;
   row["crashes"] = aSuspect.mRecords.size();
   row["held"] = aSuspect.mHeld;
   row["held_for_ms"] = left.Count();
@@ -47,10 +47,10 @@
 void Hold(NodeContext& aNode, const RequestDigest& aRequest) {
   // Records of another hour may be there, and have been cleared since.
   const int64_t now = aNode.mTimeOfDay();
-  for (size_t i = 0; i < CrashTable::kReplicasToHold; ++i) {
+  for (size_t i = 0; i < CrashTable::kCrashesToHold; ++i) {
     Replica hand;
     hand.mId = kByHand + std::to_string(i);
-    hand.mBorn = now;
+    hand.mStartedAtMs = now;
     BlameRequest(aNode, aRequest, hand, {}, "held by an operator");
   }
 }
--- a/src/librillwall_rollout/upstream_call.cpp
+++ b/src/librillwall_rollout/upstream_call.cpp
@@ -35,7 +35,7 @@
   NodeContext& mNode;
   const UpstreamCall mCall;
   CallAttempts mAttempts;
-  ReplicaWish mWish;
+  ReplicaRequirements mWish;
   std::optional<UpstreamAnswer> mFailedAnswer;  ///< best of the failed ones
   bool mCounted = false;  ///< it has begun to run at some replica
   std::optional<RequestDigest> mDigest;  ///< once it is needed
@@ -60,8 +60,8 @@
 /// end with this attempt, or each one would end as many replicas again.
 std::optional<Error> RefusalOf(CallRun& aRun) {
   const NodeContext& node = aRun.mNode;
-  return node.mCrashes.AnySuspect() ? RefusalIfHeld(node, DigestOf(aRun))
-                                    : std::nullopt;
+  return node.mCrashes.HasSuspects() ? RefusalIfHeld(node, DigestOf(aRun))
+                                     : std::nullopt;
 }
 
 /// Counts a request for its account, once and by the time at which it was
@@ -89,7 +89,7 @@
 
 /// How one try ended.
 struct TryResult {
-  TryEnd mEnd = TryEnd::NotSent;
+  TryOutcome mEnd = TryOutcome::NotSent;
   UpstreamAnswer mAnswer;
   std::string mWhy;
   bool mClosed = false;  ///< the replica closed the connection
@@ -100,7 +100,7 @@
 /// The head of a stream does not; nor does an error: a replica whose time is up
 /// answers too, and would have ended later.
 bool LivedThrough(const CallRun& aRun, const TryResult& aResult) {
-  return aResult.mEnd == TryEnd::Answered &&
+  return aResult.mEnd == TryOutcome::Answered &&
          aRun.mCall.mKind != RequestKind::Streaming &&
          aResult.mAnswer.mHead.mStatus < kFirstServerError;
 }
@@ -110,12 +110,12 @@
                                 TryResult& aResult) {
   NodeContext& node = aRun.mNode;
   const UpstreamCall& call = aRun.mCall;
-  if (aResult.mEnd == TryEnd::Lost && aResult.mClosed) {
+  if (aResult.mEnd == TryOutcome::Lost && aResult.mClosed) {
     aResult.mEnded =
         co_await BlameIfEnded(node, DigestOf(aRun), aReplica, call.mId,
                               DescribeRequest(PartsOf(call)));
   }
-  if (node.mCrashes.AnySuspect() && LivedThrough(aRun, aResult)) {
+  if (node.mCrashes.HasSuspects() && LivedThrough(aRun, aResult)) {
     ClearRequest(node, DigestOf(aRun), call.mId);
   }
 }
@@ -123,7 +123,7 @@
 /// \return whether the request may be tried at another replica after this one
 bool MayGoOn(CallRun& aRun, const TryResult& aResult) {
   return !aResult.mEnded || aRun.mNode.mCrashes.Crashes(DigestOf(aRun)) <
-                                CrashTable::kReplicasToPause;
+                                CrashTable::kCrashesToStopRetries;
 }
 
 HttpRequest Prepare(const CallRun& aRun, const std::string& aReplica,
@@ -137,29 +137,30 @@
 
 /// The time that this try gets.
 Millis TryLimit(const CallRun& aRun, Millis aLeft) {
-  if (!aRun.mAttempts.MayMoveOn()) {
+  if (!aRun.mAttempts.MayAbandonTry()) {
     return aLeft;
   }
   return std::min(aLeft, std::max(kMinTry, aRun.mCall.mTargetLatency));
 }
 
-TryEnd EndOf(const Error& aError) {
+TryOutcome EndOf(const Error& aError) {
   if (aError.Run() == RunState::NotRun) {
-    return TryEnd::NotSent;
+    return TryOutcome::NotSent;
   }
-  return aError.Kind() == ErrorKind::Timeout ? TryEnd::TimedOut : TryEnd::Lost;
+  return aError.Kind() == ErrorKind::Timeout ? TryOutcome::TimedOut
+                                             : TryOutcome::Lost;
 }
 
-ReplicaOutcome OutcomeOf(TryEnd aEnd) {
+ReplicaOutcome OutcomeOf(TryOutcome aEnd) {
   switch (aEnd) {
-    case TryEnd::Answered:
+    case TryOutcome::Answered:
       return ReplicaOutcome::Served;
-    case TryEnd::Refused:
+    case TryOutcome::Refused:
       return ReplicaOutcome::Refused;
-    case TryEnd::NotSent:
+    case TryOutcome::NotSent:
       return ReplicaOutcome::Unreachable;
-    case TryEnd::Lost:
-    case TryEnd::TimedOut:
+    case TryOutcome::Lost:
+    case TryOutcome::TimedOut:
       return ReplicaOutcome::Failed;
   }
   return ReplicaOutcome::Failed;
@@ -185,15 +186,16 @@
 asio::awaitable<TryResult> ReadAnswer(std::unique_ptr<HttpStream> aStream,
                                       Millis aDue, NodeContext& aNode) {
   TryResult result;
-  result.mEnd = TryEnd::Answered;
+  result.mEnd = TryOutcome::Answered;
   result.mAnswer.mHead = aStream->Head();
   std::string& body = result.mAnswer.mHead.mBody;
   while (body.size() < kMaxWholeBody) {
     const Millis left = std::max(Millis(1), aDue - aNode.Now());
     Result<std::string> part = co_await aStream->Read(left);
     if (!part) {
-      result.mEnd = part.error().Kind() == ErrorKind::Timeout ? TryEnd::TimedOut
-                                                              : TryEnd::Lost;
+      result.mEnd = part.error().Kind() == ErrorKind::Timeout
+                        ? TryOutcome::TimedOut
+                        : TryOutcome::Lost;
       result.mWhy = part.error().Detail();
       result.mClosed = part.error().Kind() == ErrorKind::ConnectionLost;
       co_return result;
@@ -264,18 +266,18 @@
   std::unique_ptr<HttpStream> stream = std::move(*opened);
   const HttpResponse& head = stream->Head();
   if (!Ours(aRun, head)) {
-    result.mEnd = TryEnd::Lost;
+    result.mEnd = TryOutcome::Lost;
     result.mWhy = "the answer belongs to another request";
     co_return result;
   }
   ObserveLoad(node, aReplica.mId, head);
   if (Refusal(aRun, head)) {
-    result.mEnd = TryEnd::Refused;
+    result.mEnd = TryOutcome::Refused;
     result.mWhy = "refused with status " + std::to_string(head.mStatus);
     co_return result;
   }
   if (aRun.mCall.mKind == RequestKind::Streaming) {
-    result.mEnd = TryEnd::Answered;
+    result.mEnd = TryOutcome::Answered;
     result.mAnswer.mHead = head;
     result.mAnswer.mRest =
         std::make_unique<WatchedStream>(aRun, aReplica, std::move(stream));
@@ -288,7 +290,7 @@
 /// were not answered, so that it can be seen which of them ask for the same
 std::string LoggedDigest(CallRun& aRun, const TryResult& aResult) {
   const bool lost =
-      aResult.mEnd == TryEnd::Lost || aResult.mEnd == TryEnd::TimedOut;
+      aResult.mEnd == TryOutcome::Lost || aResult.mEnd == TryOutcome::TimedOut;
   return lost ? DigestOf(aRun).Text() : std::string();
 }
 
@@ -312,7 +314,7 @@
 
 /// Keeps a replica's own failure, in case no other replica does better.
 void KeepFailure(CallRun& aRun, TryResult& aResult) {
-  if (aResult.mEnd == TryEnd::Answered) {
+  if (aResult.mEnd == TryOutcome::Answered) {
     aRun.mFailedAnswer = std::move(aResult.mAnswer);
   }
 }
@@ -347,13 +349,14 @@
     ReplicaUse use(node, *id);
     RunCount count(aRun);
     TryResult result = co_await TryOnce(aRun, replica);
-    if (result.mEnd == TryEnd::NotSent || result.mEnd == TryEnd::Refused) {
+    if (result.mEnd == TryOutcome::NotSent ||
+        result.mEnd == TryOutcome::Refused) {
       count.NotRun();
     }
     use.End(OutcomeOf(result.mEnd));
     co_await LearnFrom(aRun, replica, result);
     const int status = result.mAnswer.mHead.mStatus;
-    CallStep step = aRun.mAttempts.Take(result.mEnd, status);
+    CallStep step = aRun.mAttempts.RecordTry(result.mEnd, status);
     if (step == CallStep::Retry && !MayGoOn(aRun, result)) {
       step = CallStep::Fail;
     }
@@ -365,7 +368,7 @@
     }
     KeepFailure(aRun, result);
     if (step == CallStep::Fail) {
-      timeIsUp = result.mEnd == TryEnd::TimedOut;
+      timeIsUp = result.mEnd == TryOutcome::TimedOut;
       break;
     }
     node.mMetrics.Count("upstream_retries_total");
--- a/src/librillwall_rollout/upstream_call_test.cpp
+++ b/src/librillwall_rollout/upstream_call_test.cpp
@@ -78,7 +78,7 @@
     HttpResponse head;
     head.mHeaders = {{"Load", "7,1,8,100"}};
     ObserveLoad(mTest.mNode, "one", head);
-    ReplicaWish wish;
+    ReplicaRequirements wish;
     wish.mService = "s";
     const Millis now = mTest.mNode.Now();
     CPPUNIT_ASSERT_EQUAL(std::string("two"),
@@ -256,7 +256,7 @@
       CPPUNIT_ASSERT(answer.error().Run() == RunState::NotRun);
       CPPUNIT_ASSERT_EQUAL(503, ErrorAnswer(answer.error()).mStatus);
       CPPUNIT_ASSERT(answer.error().RetryAfter() >
-                     CrashTable::kRememberFor - Millis(60000));
+                     CrashTable::kRecordLifetime - Millis(60000));
     }
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Sent());
   }
--- a/src/librillwall_rollout/usage_duty.cpp
+++ b/src/librillwall_rollout/usage_duty.cpp
@@ -35,7 +35,7 @@
 
 void UsageDuty::Take(const NodeEntry& aFrom, const std::string& aText) {
   if (aFrom.mTakesClients) {
-    mBook.Heard(aFrom.mAddress, mNode.Now());
+    mBook.RecordContact(aFrom.mAddress, mNode.Now());
   }
   if (aText.empty()) {
     return;
@@ -116,7 +116,7 @@
 UsageReport UsageDuty::Collect() {
   // A lead that takes requests itself tells itself.
   const std::string& run = mNode.mIdentity.mRun;
-  mBook.Told(run, mNode.mUsage.Untold(run));
+  mBook.Told(run, mNode.mUsage.UnreportedCounts(run));
   mNode.mUsage.Told();
   return {mNext, mBook.Sum(mNext)};
 }
@@ -174,7 +174,8 @@
       .Number("window", aReport.mWindow)
       .Number("accounts", static_cast<int64_t>(aReport.mCounts.size()))
       .Number("requests", requests)
-      .Number("tellers", static_cast<int64_t>(mBook.Tellers(aReport.mWindow)))
+      .Number("tellers",
+              static_cast<int64_t>(mBook.ReporterCount(aReport.mWindow)))
       .Number("after_ms", mNode.mTimeOfDay() - end)
       .Flag("by_this_claim", aByThisClaim)
       .Write();
@@ -198,8 +199,8 @@
         co_await mPort.Report(fixed.mReport, std::move(claim));
     ++fixed.mTries;
     fixed.mTaken = !failed;
-    const Millis pause = FailurePause(fixed.mTries, kFirstPause, kLongestPause);
-    fixed.mNextTry = mNode.Now() + mJitter.HalfToAll(pause);
+    const Millis pause = BackoffDelay(fixed.mTries, kFirstPause, kLongestPause);
+    fixed.mNextTry = mNode.Now() + mJitter.EqualJitter(pause);
     Event("usage-reported")
         .Number("window", window)
         .Number("fence", mFence)
--- a/src/librillwall_rollout/view_exchange.cpp
+++ b/src/librillwall_rollout/view_exchange.cpp
@@ -135,7 +135,7 @@
   const ViewQuestion question = DecodeQuestion(
       [&](std::string_view aName) { return aRequest.Query(aName); });
   if (!question.mFrom.mAddress.empty()) {
-    mNodes.Heard(question.mFrom, now);
+    mNodes.RecordContact(question.mFrom, now);
   }
   const bool leads = mOnTold && mLead.Held();
   if (leads) {
@@ -151,13 +151,13 @@
   HttpResponse response;
   response.mStatus = kUnavailable;
   if (!mListedAt) {
-    if (mUnlistedAt && now - *mUnlistedAt < mPlan.PollEvery()) {
+    if (mUnlistedAt && now - *mUnlistedAt < mPlan.PollInterval()) {
       response.mHeaders.push_back({kAwayHeader, "1"});
     }
     return response;
   }
   const NodeIdentity& self = mNode.mIdentity;
-  mNodes.Heard({self.mAddress, self.mTakesClients, self.mZone}, now);
+  mNodes.RecordContact({self.mAddress, self.mTakesClients, self.mZone}, now);
   AnswerKey key;
   key.mVersions = question.mVersions;
   key.mKnown = question.mReplicas;
@@ -296,16 +296,16 @@
   if (holder && *holder) {
     mPlan.LeadFound(now);
   } else {
-    mPlan.Missed(ViewSource::LookUp, now);
+    mPlan.RecordMiss(ViewSource::LookUp, now);
   }
 }
 
 void ViewExchange::NoteMiss(ViewSource aSource, const std::string& aAddress,
                             const Result<HttpResponse>& aAnswer) {
   if (aAnswer && aAnswer->Find(kAwayHeader) != nullptr) {
-    mPlan.Away(aSource, mNode.Now());
+    mPlan.RecordStoreUnreachable(aSource, mNode.Now());
   } else {
-    mPlan.Missed(aSource, mNode.Now());
+    mPlan.RecordMiss(aSource, mNode.Now());
   }
   Event("view-unanswered")
       .Text("node", aAddress)
@@ -338,14 +338,15 @@
   question.mNodes = mNodes.Tag();
   if (question.mVersions == mMirrorVersions) {
     question.mRun = mMirror.Run();
-    question.mReplicas = mMirror.Mark();
+    question.mReplicas = mMirror.Cursor();
   }
   const bool sameRun = question.mRun == mCrashesRun;
   question.mCrashes = sameRun ? mCrashesNumber : 0;
   HttpRequest request;
   request.mTarget = EncodeQuestion(question);
   if (aSource == ViewSource::Lead && Leads(aAddress)) {
-    ToldUsage told{self.mRun, mNode.mUsage.Untold(mLead.Known()->mRun)};
+    ToldUsage told{self.mRun,
+                   mNode.mUsage.UnreportedCounts(mLead.Known()->mRun)};
     if (!told.mCounts.empty()) {
       request.mMethod = "POST";
       request.mBody = EncodeToldUsage(told);
@@ -360,7 +361,7 @@
       address ? Endpoint::Parse(*address)
               : Error(ErrorKind::Unavailable, "No such node is known.");
   if (!endpoint) {
-    mPlan.Missed(aSource, mNode.Now());
+    mPlan.RecordMiss(aSource, mNode.Now());
     co_return std::nullopt;
   }
   HttpRequest request = QuestionTo(aSource, *address);
@@ -382,7 +383,7 @@
         .Text("node", *address)
         .Text("why", view ? "it has no age" : view.error().Detail())
         .Write();
-    mPlan.Missed(aSource, mNode.Now());
+    mPlan.RecordMiss(aSource, mNode.Now());
     co_return std::nullopt;
   }
   if (view->mRun == leadRun && answer->Find(kUsageTakenHeader) != nullptr) {
@@ -401,7 +402,7 @@
   TakeCrashNews(mNode, aView.mCrashes, aView.mRun);
   mCrashesRun = aView.mRun;
   mCrashesNumber = aView.mCrashNumber;
-  const ReplicaMark before = mMirror.Mark();
+  const ReplicaCursor before = mMirror.Cursor();
   if (!mMirror.Take(aView.mRun, aView.mReplicas)) {
     Event("view-mismatch")
         .Text("node", aFrom.Text())
@@ -412,14 +413,14 @@
   }
   TakeNodes(aView);
   ViewNews news;
-  const bool changed = before.mDigest != mMirror.Mark().mDigest ||
+  const bool changed = before.mDigest != mMirror.Cursor().mDigest ||
                        mMirrorVersions != aView.mVersions;
   mMirrorVersions = aView.mVersions;
   if (changed || before.mNumber == 0) {
     news.mReplicas = mMirror.All();
   }
   if (aView.mHosts > 0) {
-    mNode.mReplicas.Cold().SetHosts(static_cast<size_t>(aView.mHosts));
+    mNode.mReplicas.Cold().SetHostCount(static_cast<size_t>(aView.mHosts));
   }
   news.mFollowsConfig = aView.mConfig > 0;
   if (news.mFollowsConfig) {
--- a/src/librillwall_rollout/view_exchange_test.cpp
+++ b/src/librillwall_rollout/view_exchange_test.cpp
@@ -182,7 +182,8 @@
     Fill(mTable);
     mGiver.mView.ReadTable(mTable, mGiver.Now());
     const std::optional<ViewNews> news = mEntry.Ask();
-    CPPUNIT_ASSERT_EQUAL(RegistryTable::kUsualSubset, news->mReplicas->size());
+    CPPUNIT_ASSERT_EQUAL(RegistryTable::kDefaultSubset,
+                         news->mReplicas->size());
     CPPUNIT_ASSERT(!mEntry.Ask()->mReplicas);
     // One that this host does not know goes, then one that it knows.
     const Replica known = news->mReplicas->front();
@@ -198,7 +199,8 @@
     CPPUNIT_ASSERT(!mEntry.Ask()->mReplicas);
     mTable.Remove(known.mId, 3, false);
     const std::optional<ViewNews> later = mEntry.Ask();
-    CPPUNIT_ASSERT_EQUAL(RegistryTable::kUsualSubset, later->mReplicas->size());
+    CPPUNIT_ASSERT_EQUAL(RegistryTable::kDefaultSubset,
+                         later->mReplicas->size());
     CPPUNIT_ASSERT(std::find(later->mReplicas->begin(), later->mReplicas->end(),
                              known) == later->mReplicas->end());
   }
@@ -210,7 +212,7 @@
     teller.mView.Follows(true);
     teller.mLead.Learn(mGiver.Holder());
     mGiver.mView.ReadTable(mTable, mGiver.Now());
-    mGiver.mNodes.Heard(teller.Entry(), mGiver.Now());
+    mGiver.mNodes.RecordContact(teller.Entry(), mGiver.Now());
     // Of the lead it hears who else can tell it, and that there are many.
     CPPUNIT_ASSERT(mEntry.Ask()->mReplicas.has_value());
     const int asked = mGiver.mAsked;
@@ -226,8 +228,8 @@
     Fill(mTable);
     mGiver.mView.ReadTable(mTable, mGiver.Now());
     const NodeIdentity& self = mGiver.mTest.mNode.mIdentity;
-    mGiver.mNodes.Heard({kGone, false, "z"}, mGiver.Now());
-    mGiver.mNodes.Heard({self.mAddress, false, "other"}, mGiver.Now());
+    mGiver.mNodes.RecordContact({kGone, false, "z"}, mGiver.Now());
+    mGiver.mNodes.RecordContact({self.mAddress, false, "other"}, mGiver.Now());
     mEntry.Ask();
     // It is asked once, and then the lead.
     int answered = 0;
@@ -267,9 +269,9 @@
     Node teller(mWorld, "teller", false);
     teller.mView.ReadTable(mTable, teller.Now());
     mGiver.mView.ReadTable(mTable, mGiver.Now());
-    mGiver.mNodes.Heard({"10.0.0.7:1", false, "y"}, mGiver.Now());
+    mGiver.mNodes.RecordContact({"10.0.0.7:1", false, "y"}, mGiver.Now());
     teller.mLead.Learn(mGiver.Holder());
-    teller.mNodes.Heard(mEntry.Entry(), teller.Now());
+    teller.mNodes.RecordContact(mEntry.Entry(), teller.Now());
     const auto introduce = [&]() -> asio::awaitable<bool> {
       co_await teller.mView.Introduce();
       co_return true;
@@ -294,7 +296,7 @@
     Node teller(mWorld, "teller", false);
     teller.mView.ReadTable(mTable, teller.Now());
     mGiver.mView.ReadTable(mTable, mGiver.Now());
-    mGiver.mNodes.Heard(teller.Entry(), mGiver.Now());
+    mGiver.mNodes.RecordContact(teller.Entry(), mGiver.Now());
     mEntry.Ask();
     UsageMeter& usage = mEntry.mTest.mNode.mUsage;
     usage.SetWindow(Millis(1000));
@@ -379,7 +381,7 @@
   void CrashesAreToldOnce() {
     CrashTable& told = mEntry.mTest.mNode.mCrashes;
     mEntry.Ask();
-    CPPUNIT_ASSERT(!told.AnySuspect());
+    CPPUNIT_ASSERT(!told.HasSuspects());
     mGiver.mTest.mNode.mCrashes.Merge({CrashOf("r1")});
     mEntry.Ask();
     CPPUNIT_ASSERT(mGiver.mTest.mNode.mCrashes.Since(0) == told.Since(0));
@@ -449,13 +451,13 @@
 
   void CandidateHelpsOutWithoutALead() {
     mEntry.mLead.Forget();
-    mEntry.mNodes.Heard(mGiver.Entry(), mEntry.Now());
+    mEntry.mNodes.RecordContact(mGiver.Entry(), mEntry.Now());
     CPPUNIT_ASSERT(mEntry.Ask());
   }
 
   void CandidateAsksNoOtherCandidate() {
     Node candidate{mWorld, "candidate", false};
-    candidate.mNodes.Heard(mGiver.Entry(), candidate.Now());
+    candidate.mNodes.RecordContact(mGiver.Entry(), candidate.Now());
     CPPUNIT_ASSERT(!candidate.Ask());
     CPPUNIT_ASSERT_EQUAL(0, mGiver.mAsked);
   }
@@ -488,7 +490,7 @@
                       });
     const Endpoint bound = *silent.Listen({"127.0.0.1", 0});
     mEntry.mLead.Learn({"late", bound.Text(), "run"});
-    mEntry.mNodes.Heard(mGiver.Entry(), mEntry.Now());
+    mEntry.mNodes.RecordContact(mGiver.Entry(), mEntry.Now());
     CPPUNIT_ASSERT(mEntry.mView.NextSource() == ViewSource::Lead);
     CPPUNIT_ASSERT(!mEntry.mTest.Run(mEntry.mView.Ask(ViewSource::Lead)));
     CPPUNIT_ASSERT(mEntry.mLead.Known());
@@ -504,7 +506,7 @@
     int told = 0;
     mGiver.mView.mOnHelpAsked = [&told] { ++told; };
     mEntry.mLead.Forget();
-    mEntry.mNodes.Heard(mGiver.Entry(), mEntry.Now());
+    mEntry.mNodes.RecordContact(mGiver.Entry(), mEntry.Now());
     CPPUNIT_ASSERT(!mGiver.mView.Helping());
     CPPUNIT_ASSERT(mEntry.Ask());
     CPPUNIT_ASSERT(mGiver.mView.Helping());
@@ -528,8 +530,8 @@
     CPPUNIT_ASSERT(!mEntry.Ask());
     const ViewContacts alone{true, true, false};
     const Millis later = mEntry.Now() + Millis(3000);
-    mEntry.mView.Plan().Missed(ViewSource::Lead, later);
-    mEntry.mView.Plan().Missed(ViewSource::Helper, later);
+    mEntry.mView.Plan().RecordMiss(ViewSource::Lead, later);
+    mEntry.mView.Plan().RecordMiss(ViewSource::Helper, later);
     CPPUNIT_ASSERT(!mEntry.mView.Plan().Next(alone, later));
   }
 
@@ -629,7 +631,7 @@
     candidate.mNodes.Adopt(mEntry.mNodes.List(), candidate.Now());
     CPPUNIT_ASSERT(!NobodyReaches(candidate, giver));
     // A node that has gone; the entry host has heard of it.
-    mEntry.mNodes.Heard({kGone, false}, mEntry.Now());
+    mEntry.mNodes.RecordContact({kGone, false}, mEntry.Now());
     CPPUNIT_ASSERT(NobodyReaches(candidate, kGone));
     // Nobody is there to tell.
     candidate.mNodes.Adopt({}, candidate.Now());
@@ -670,7 +672,7 @@
     CPPUNIT_ASSERT(mEntry.Ask().has_value());
     CPPUNIT_ASSERT(mEntry.Ask().has_value());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, told.size());
-    CPPUNIT_ASSERT(mEntry.mTest.mNode.mUsage.AllTold());
+    CPPUNIT_ASSERT(mEntry.mTest.mNode.mUsage.AllReported());
     const ToldUsage expected{"entry-run", {{100, {{"a", 1}}}}};
     CPPUNIT_ASSERT(expected == *DecodeToldUsage(told.front()));
   }
@@ -681,7 +683,7 @@
     CountOne(told);
     CPPUNIT_ASSERT(mEntry.Ask().has_value());
     CPPUNIT_ASSERT(told.empty());
-    CPPUNIT_ASSERT(!mEntry.mTest.mNode.mUsage.AllTold());
+    CPPUNIT_ASSERT(!mEntry.mTest.mNode.mUsage.AllReported());
   }
 };
 
--- a/src/librillwall_rollout/view_subset.cpp
+++ b/src/librillwall_rollout/view_subset.cpp
@@ -88,7 +88,8 @@
   if (!self.mTakesClients || !mLargeTold || mOwnsSteps()) {
     return std::nullopt;
   }
-  if (mLead.Known() && !mNode.mUsage.Untold(mLead.Known()->mRun).empty()) {
+  if (mLead.Known() &&
+      !mNode.mUsage.UnreportedCounts(mLead.Known()->mRun).empty()) {
     // Usage is for the lead, and for nobody else.
     return std::nullopt;
   }
@@ -145,7 +146,7 @@
       aView.mNodes ? *aView.mNodes : mNodes.List();
   if (mTable != nullptr) {
     // The hosts that ask this node are known better here.
-    mNodes.HeardOf(nodes, now);
+    mNodes.AddCandidates(nodes, now);
   } else {
     mNodes.Adopt(nodes, now);
   }
--- a/src/librillwall_rollout/weight_orders.cpp
+++ b/src/librillwall_rollout/weight_orders.cpp
@@ -135,13 +135,13 @@
     candidate.mFailing = mNode.mReplicas.Failing(replica->mId, now);
     candidates.push_back(std::move(candidate));
   }
-  const std::vector<LoadPick> picks =
+  const std::vector<PlannedLoad> picks =
       PlanLoads(std::move(candidates), targets, most);
   if (picks.empty()) {
     const auto count = static_cast<int64_t>(replicas.size());
     mQuietUntil[aService.mName] = now + Millis(count / kReplicasPerQuietMs);
   }
-  for (const LoadPick& pick : picks) {
+  for (const PlannedLoad& pick : picks) {
     mLoading[pick.mReplica] = {pick.mModel, pick.mVersion};
     const Replica replica = *mNode.mReplicas.Find(pick.mReplica);
     Launch(mNode.mIo, "load", Load(replica, pick));
@@ -177,7 +177,7 @@
     }
     size_t used = 0;
     for (const LoadTarget& target : TargetsOf(service)) {
-      const auto steps = static_cast<size_t>(target.mLag + 1);
+      const auto steps = static_cast<size_t>(target.mAllowedLag + 1);
       used += steps * ReplicasFor(target, replicas.front()->mSlots);
     }
     wanted[service.mName] = used + used / 4;
@@ -229,19 +229,20 @@
   return false;
 }
 
-asio::awaitable<void> WeightOrders::Load(Replica aReplica, LoadPick aPick) {
+asio::awaitable<void> WeightOrders::Load(Replica aReplica, PlannedLoad aPick) {
   const std::string& aModel = aPick.mModel;
   const int64_t aVersion = aPick.mVersion;
   const Result<ReplicaReport> report = co_await mControl.Report(aReplica);
   VersionOrder order;
   order.mModel = aModel;
   order.mVersion = aVersion;
-  order.mCutRuns = aPick.mCutRuns;
+  order.mAbortRuns = aPick.mAbortRuns;
   order.mHolder = mNode.mIdentity.mName;
   order.mFence = mLead.Fence();
   bool started = false;
   if (report && report->VersionOf(aModel) >= aVersion) {
-    mNode.mReplicas.Learn(aReplica.mId, aModel, report->VersionOf(aModel));
+    mNode.mReplicas.UpdateVersion(aReplica.mId, aModel,
+                                  report->VersionOf(aModel));
   } else if (report && report->mBusy) {
     started = true;
   } else if (report && mLead.MayOrder()) {
@@ -253,7 +254,7 @@
     mNode.mMetrics.Count("orders_total");
     started = !answer || *answer == OrderAnswer::Started;
     if (answer && *answer == OrderAnswer::AlreadyDone) {
-      mNode.mReplicas.Learn(aReplica.mId, aModel, aVersion);
+      mNode.mReplicas.UpdateVersion(aReplica.mId, aModel, aVersion);
     }
   }
   if (started) {
@@ -277,7 +278,7 @@
     const Result<ReplicaReport> report = co_await mControl.Report(aReplica);
     const int64_t version = report ? report->VersionOf(aModel) : 0;
     if (report && !report->mBusy) {
-      mNode.mReplicas.Learn(aReplica.mId, aModel, version);
+      mNode.mReplicas.UpdateVersion(aReplica.mId, aModel, version);
       mNode.mReplicas.Resume(aReplica.mId);
       Event("load-ended")
           .Text("replica", aReplica.mId)
