--- a/src/include/rillwall/admission.h
+++ b/src/include/rillwall/admission.h
@@ -33,8 +33,8 @@
 /// Replaces what a client sent by what an upstream may see: the account's name,
 /// and neither the key nor an account that the client claims to be.
 /// \param aAccount empty: none is named
-void NameAccount(const NodeContext& aNode, const RouteTable& aRoutes,
-                 const std::string& aAccount,
-                 std::vector<HttpHeader>& aHeaders);
+void SetAccountHeader(const NodeContext& aNode, const RouteTable& aRoutes,
+                      const std::string& aAccount,
+                      std::vector<HttpHeader>& aHeaders);
 
 }  // namespace rillwall
--- a/src/include/rillwall/lead_claim.h
+++ b/src/include/rillwall/lead_claim.h
@@ -28,9 +28,9 @@
   LeadClaim(NodeContext& aNode, std::function<void()> aOnWon);
   /// Asks other nodes whether they reach an address that this one does not.
   /// \return whether some answered, and none of them reaches it
-  using Witnesses = std::function<asio::awaitable<bool>(std::string aAddress)>;
+  using PeerProbe = std::function<asio::awaitable<bool>(std::string aAddress)>;
   /// Without witnesses a claim is left until its lease lapses.
-  void SetWitnesses(Witnesses aWitnesses) {
+  void SetPeerProbe(PeerProbe aWitnesses) {
     mWitnesses = std::move(aWitnesses);
   }
 
@@ -39,7 +39,7 @@
   /// The same for a host that leads only if no candidate does: all of them may
   /// be gone. Claims once nobody has been known to lead for some time.
   /// \param aPatience how long that is; not alike on all hosts
-  asio::awaitable<void> RunReserve(Millis aPatience);
+  asio::awaitable<void> RunAsFallback(Millis aPatience);
   /// Gives the claim up at once.
   asio::awaitable<void> Resign();
 
@@ -61,7 +61,7 @@
   /// Another node told who leads. A holder of the claim knows better.
   void Learn(const LeadHolder& aHolder);
   /// \return the holder before this one if nobody reached it, else empty
-  const std::string& Unreached() const { return mUnreached; }
+  const std::string& UnreachableHolder() const { return mUnreached; }
   /// \return who leads as far as this node knows; may be out of date
   const std::optional<LeadHolder>& Known() const { return mKnown; }
 
@@ -95,7 +95,7 @@
 
   NodeContext& mNode;
   const std::function<void()> mOnWon;
-  Witnesses mWitnesses;
+  PeerProbe mWitnesses;
   Jitter mJitter{0};  ///< seeded by the process's run
   int64_t mLease = 0;
   int64_t mFence = 0;
--- a/src/include/rillwall/node_context.h
+++ b/src/include/rillwall/node_context.h
@@ -77,7 +77,8 @@
   HeaderNames mHeaders;
   ServingBounds mBounds;
   RcuCell<RouteTable> mRoutes;
-  Millis mConfigHeardAt;  ///< when it was last known that they are the newest
+  Millis
+      mConfigConfirmedAt;  ///< when it was last known that they are the newest
   ReplicaPool mReplicas;
   ServiceMetrics mMetrics;
   UsageMeter mUsage;
@@ -106,7 +107,7 @@
                                               Millis aLimit);
 
 /// Waits until a timer is cancelled, or so long.
-asio::awaitable<void> Rest(asio::steady_timer& aTimer, Millis aSpan);
+asio::awaitable<void> WaitOnTimer(asio::steady_timer& aTimer, Millis aSpan);
 /// Waits. Ends early, without an error, if the coroutine is cancelled.
 asio::awaitable<void> Sleep(asio::io_context& aIo, Millis aSpan);
 /// Starts a coroutine that nobody waits for; what it throws is logged.
--- a/src/include/rillwall/relay.h
+++ b/src/include/rillwall/relay.h
@@ -21,16 +21,16 @@
                              const HttpRequest& aRequest);
 
 /// \return the instant until which the client waits and the operator allows
-Millis DueOf(const NodeContext& aNode, const Route& aRoute,
-             const HttpRequest& aRequest);
+Millis DeadlineOf(const NodeContext& aNode, const Route& aRoute,
+                  const HttpRequest& aRequest);
 
 /// \return an answer of rillwall's own that tells an error. A status that
 /// promises that nothing ran is given only if the error says so.
 HttpResponse ErrorAnswer(const Error& aError);
 
 /// Gives an answer of rillwall's own, counts and logs it.
-asio::awaitable<void> Refuse(NodeContext& aNode, std::string aId, Error aError,
-                             HttpExchange& aExchange);
+asio::awaitable<void> RespondWithError(NodeContext& aNode, std::string aId,
+                                       Error aError, HttpExchange& aExchange);
 
 /// Headers that concern only one connection are left out.
 std::vector<HttpHeader> EndToEndHeaders(const std::vector<HttpHeader>& aAll);
--- a/src/include/rillwall/rollout_service.h
+++ b/src/include/rillwall/rollout_service.h
@@ -25,10 +25,10 @@
 namespace rillwall {
 
 /// Where a step is served.
-struct RolloutPlace {
+struct RolloutLocation {
   enum class Kind {
-    Here,     ///< this node owns it, or holds all that it ever listed
-    There,    ///< another node does
+    Local,    ///< this node owns it, or holds all that it ever listed
+    Remote,   ///< another node does
     Unknown,  ///< no such step was ever accepted
   };
   Kind mKind = Kind::Unknown;
@@ -75,11 +75,11 @@
   asio::awaitable<std::optional<Error>> Accept(RolloutSpec aSpec, Route aRoute,
                                                std::string aBody);
   /// \param aAdopt take the step over if its owner does not answer
-  asio::awaitable<Result<RolloutPlace>> Locate(std::string aId, bool aAdopt);
+  asio::awaitable<Result<RolloutLocation>> Locate(std::string aId, bool aAdopt);
   /// \return whether the step is here, or its place is remembered
   bool Knows(const std::string& aId) const;
   /// The node at this address did not answer for a step.
-  void ForgetPlace(const std::string& aId);
+  void ForgetLocation(const std::string& aId);
 
   /// For steps that are here. Waits for a result at aAfter, if there is none.
   asio::awaitable<Result<RolloutRead>> Read(std::string aId, int64_t aAfter,
@@ -98,7 +98,7 @@
   /// meanwhile shares the load: the clients that look at a step come together.
   asio::awaitable<std::optional<Error>> LoadArchive(std::string aId);
   /// Starts items for which replicas have room.
-  void Pump();
+  void StartReadyItems();
   /// Watches over open steps until the process ends.
   asio::awaitable<void> Run();
   /// \return whether a step is here and still open
--- a/src/include/rillwall/suspects.h
+++ b/src/include/rillwall/suspects.h
@@ -17,6 +17,7 @@
 inline constexpr char kSuspectsPath[] = "/node/suspects";
 
 /// \return the answer: 200 with JSON, or 400 or 404 that tell the remedy
-HttpResponse AnswerSuspects(NodeContext& aNode, const HttpRequest& aRequest);
+HttpResponse HandleSuspectsRequest(NodeContext& aNode,
+                                   const HttpRequest& aRequest);
 
 }  // namespace rillwall
--- a/src/include/rillwall/upstream_call.h
+++ b/src/include/rillwall/upstream_call.h
@@ -20,13 +20,13 @@
   std::string mAccount;  ///< client account that it is counted for; or empty
   RequestKind mKind = RequestKind::Idempotent;
   int mAttempts = 1;  ///< replicas that may run it
-  Millis mDue;        ///< instant at which the caller must have its answer
+  Millis mDeadline;   ///< instant at which the caller must have its answer
   Millis mTargetLatency;
   AllowedRegions mRegions;  ///< in which it may be served
 };
 
 /// A replica's answer: whole, or its beginning and the rest as a stream.
-struct UpstreamAnswer {
+struct UpstreamResponse {
   HttpResponse mHead;                 ///< its body is what has come so far
   std::unique_ptr<HttpStream> mRest;  ///< null if the answer is whole
   std::string mReplica;
@@ -34,13 +34,14 @@
 };
 
 /// Counts a request at a replica for as long as it lives.
-class ReplicaUse {
+class InFlightRequest {
  public:
   /// \param aModel whose weights serve the request; empty: any
-  ReplicaUse(NodeContext& aNode, std::string aReplica, std::string aModel = {});
-  ~ReplicaUse();
-  ReplicaUse(const ReplicaUse&) = delete;
-  ReplicaUse& operator=(const ReplicaUse&) = delete;
+  InFlightRequest(NodeContext& aNode, std::string aReplica,
+                  std::string aModel = {});
+  ~InFlightRequest();
+  InFlightRequest(const InFlightRequest&) = delete;
+  InFlightRequest& operator=(const InFlightRequest&) = delete;
   /// Tells how it ended; without it the request counts as abandoned.
   /// \param aStream its time says nothing of the replica's latency
   void End(ReplicaOutcome aOutcome, bool aStream = false);
@@ -58,7 +59,7 @@
 /// which ends the work at the replica.
 /// \return the answer, or an error whose Run() is NotRun only if no replica
 /// can have run the request
-asio::awaitable<Result<UpstreamAnswer>> CallUpstream(NodeContext& aNode,
-                                                     UpstreamCall aCall);
+asio::awaitable<Result<UpstreamResponse>> CallUpstream(NodeContext& aNode,
+                                                       UpstreamCall aCall);
 
 }  // namespace rillwall
--- a/src/include/rillwall/usage_duty.h
+++ b/src/include/rillwall/usage_reporter.h
@@ -26,10 +26,10 @@
 namespace rillwall {
 
 /// Under which claim a call of a duty is made.
-struct DutyClaim {
+struct FencingToken {
   std::string mHolder;  ///< name of the host that makes it
   int64_t mFence = 0;
-  bool operator==(const DutyClaim&) const = default;
+  bool operator==(const FencingToken&) const = default;
 };
 
 /// The platform's side of the duty. A call is made by this host itself, never
@@ -40,15 +40,15 @@
   /// \return nothing if the report was taken; an error whose Run() is NotRun if
   /// it was refused
   virtual asio::awaitable<std::optional<Error>> Report(UsageReport aReport,
-                                                       DutyClaim aClaim) = 0;
+                                                       FencingToken aClaim) = 0;
 };
 
-class UsageDuty {
+class UsageReporter {
  public:
-  UsageDuty(NodeContext& aNode, LeadClaim& aLead, UsagePort& aPort);
+  UsageReporter(NodeContext& aNode, LeadClaim& aLead, UsagePort& aPort);
 
   /// \param aLate then a window's report is due, after its end
-  void SetLate(Millis aLate) { mLate = aLate; }
+  void SetReportDelay(Millis aLate) { mLate = aLate; }
   /// Takes in what a host told.
   /// \param aText whole counts of the windows with news; empty: it has none
   void Take(const NodeEntry& aFrom, const std::string& aText);
--- a/src/include/rillwall/view_exchange.h
+++ b/src/include/rillwall/view_exchange.h
@@ -45,7 +45,7 @@
 };
 
 /// What another node told.
-struct ViewNews {
+struct ViewUpdate {
   /// All replicas, if they are not those told before.
   std::optional<std::vector<Replica>> mReplicas;
   bool mFollowsConfig = false;        ///< that node follows the configuration
@@ -56,23 +56,23 @@
  public:
   ViewExchange(NodeContext& aNode, LeadClaim& aLead, NodeDirectory& aNodes);
   /// Called when another node asks this one in the lead's place.
-  std::function<void()> mOnHelpAsked;
+  std::function<void()> mOnHelpRequested;
   /// \return whether this node owns steps, and has to know weight versions
   std::function<bool()> mOwnsSteps = [] { return false; };
   /// Takes in what a node tells beside its question, if this node leads.
-  std::function<void(const NodeEntry&, const std::string&)> mOnTold;
+  std::function<void(const NodeEntry&, const std::string&)> mOnUsage;
   /// When and whom to ask.
   ViewPlan& Plan() { return mPlan; }
   /// \return the source to ask now; nothing if it is not time for any
   std::optional<ViewSource> NextSource();
   /// Asks the lead or a helper.
   /// \return what it told; nothing if that does not help
-  asio::awaitable<std::optional<ViewNews>> Ask(ViewSource aSource);
+  asio::awaitable<std::optional<ViewUpdate>> Ask(ViewSource aSource);
   /// \return all replicas as another node told them last
   std::vector<Replica> Told() const { return mMirror.All(); }
   /// \return the candidate that keeps an ended step for all nodes, chosen by
   /// the hash of both names; nothing if none is known
-  std::optional<std::string> KeeperOf(const std::string& aStep) const;
+  std::optional<std::string> ArchiveHostOf(const std::string& aStep) const;
   /// \return whether weight versions are known here
   bool KnowsVersions() const { return mListedAt || mMirrorVersions; }
   /// Asks the store who leads.
@@ -98,7 +98,7 @@
   asio::awaitable<void> Introduce();
 
   /// This node could not list them: the store does not answer it.
-  void Unlisted() { mUnlistedAt = mNode.Now(); }
+  void ListingFailed() { mUnlistedAt = mNode.Now(); }
   /// The configuration in force here.
   void Configured(ConfigText aConfig);
   /// The zones that the operator has evacuated, all of them.
@@ -110,15 +110,15 @@
   /// the store itself; it says so if that is since the store does not answer.
   HttpResponse Answer(const HttpRequest& aRequest);
   /// Gives out the text of the configuration.
-  HttpResponse AnswerConfig();
+  HttpResponse HandleConfigRequest();
 
   /// Says whether this node reaches another one: 200, or 404; 503 if it does
   /// not know that node.
-  asio::awaitable<HttpResponse> AnswerReach(const HttpRequest& aRequest);
+  asio::awaitable<HttpResponse> HandleReachRequest(const HttpRequest& aRequest);
   /// Asks some entry hosts, in different availability zones as far as that can
   /// be told, whether they reach a node.
   /// \return whether some answered, and none of them reaches it
-  asio::awaitable<bool> NobodyReaches(std::string aAddress);
+  asio::awaitable<bool> ConfirmUnreachable(std::string aAddress);
 
  private:
   /// What makes answers differ from one another.
@@ -144,8 +144,8 @@
   std::optional<std::string> AddressOf(ViewSource aSource) const;
   void NoteMiss(ViewSource aSource, const std::string& aAddress,
                 const Result<HttpResponse>& aAnswer);
-  asio::awaitable<std::optional<ViewNews>> Take(SharedView aView,
-                                                Endpoint aFrom);
+  asio::awaitable<std::optional<ViewUpdate>> Take(SharedView aView,
+                                                  Endpoint aFrom);
   /// Takes in which nodes there are and who leads.
   void TakeNodes(const SharedView& aView);
   /// \return the candidate of the own zone that tells this host its subset;
--- a/src/include/rillwall/weight_orders.h
+++ b/src/include/rillwall/weight_orders.h
@@ -38,15 +38,15 @@
 };
 
 /// How a replica took an order.
-enum class OrderAnswer { Started, AlreadyDone, Conflict, Fenced, Rejected };
+enum class OrderOutcome { Started, AlreadyDone, Conflict, Fenced, Rejected };
 
 /// The control interface of replicas; one implementation for each platform.
 class ReplicaControl {
  public:
   virtual ~ReplicaControl() = default;
   virtual asio::awaitable<Result<ReplicaReport>> Report(Replica aReplica) = 0;
-  virtual asio::awaitable<Result<OrderAnswer>> Order(Replica aReplica,
-                                                     VersionOrder aOrder) = 0;
+  virtual asio::awaitable<Result<OrderOutcome>> Order(Replica aReplica,
+                                                      VersionOrder aOrder) = 0;
 };
 
 class WeightOrders {
@@ -54,9 +54,9 @@
   WeightOrders(NodeContext& aNode, LeadClaim& aLead, ReplicaControl& aControl);
 
   /// A trainer named a version; older ones than known are ignored.
-  void Name(const std::string& aModel, int64_t aVersion);
+  void SetTargetVersion(const std::string& aModel, int64_t aVersion);
   /// \return the newest named version of a model, 0 if none was named
-  int64_t Named(const std::string& aModel) const;
+  int64_t TargetVersion(const std::string& aModel) const;
   /// Takes a step in: its work adds to its model's demand.
   void Observe(const RolloutSpec& aSpec, double aWork);
   /// \return replicas that the named versions need, by service, and a quarter
--- a/src/librillwall_rollout/admission.cpp
+++ b/src/librillwall_rollout/admission.cpp
@@ -41,7 +41,7 @@
                  "The request carries no API key; send it as "
                  "'Authorization: Bearer KEY'.");
   }
-  if (aNode.Now() - aNode.mConfigHeardAt > aNode.mBounds.mConfig) {
+  if (aNode.Now() - aNode.mConfigConfirmedAt > aNode.mBounds.mConfig) {
     return Error(ErrorKind::Unavailable,
                  "This host does not know the API key, and its configuration "
                  "may be out of date.")
@@ -51,9 +51,9 @@
                "No client account has this API key; it may have been revoked.");
 }
 
-void NameAccount(const NodeContext& aNode, const RouteTable& aRoutes,
-                 const std::string& aAccount,
-                 std::vector<HttpHeader>& aHeaders) {
+void SetAccountHeader(const NodeContext& aNode, const RouteTable& aRoutes,
+                      const std::string& aAccount,
+                      std::vector<HttpHeader>& aHeaders) {
   const std::string& name = aNode.mHeaders.mAccount;
   const bool keys = aRoutes.Accounts().Required();
   std::erase_if(aHeaders, [&](const HttpHeader& aHeader) {
--- a/src/librillwall_rollout/crash_sync.cpp
+++ b/src/librillwall_rollout/crash_sync.cpp
@@ -74,7 +74,7 @@
     const bool urgent = mNode.mCrashes.UnsavedIsUrgent();
     if (records.empty() || !(urgent || mGathered)) {
       mGathered = !records.empty();
-      co_await Rest(mSaveWake, kGatherCleared);
+      co_await WaitOnTimer(mSaveWake, kGatherCleared);
       co_await Sleep(mNode.mIo, kGather);
       continue;
     }
@@ -119,7 +119,7 @@
   while (mTellsOthers()) {
     const auto seen =
         co_await (mNode.mStore.Watch(CrashPrefix(), revision, kWatchWait) ||
-                  Rest(mFollowWake, kWatchWait + kWatchMargin));
+                  WaitOnTimer(mFollowWake, kWatchWait + kWatchMargin));
     const Result<StoreEvents>* events = std::get_if<0>(&seen);
     if (events == nullptr || !*events || (*events)->mCompacted) {
       co_return events == nullptr;
@@ -140,7 +140,7 @@
   int failures = 0;
   while (true) {
     if (!mTellsOthers()) {
-      co_await Rest(mFollowWake, kIdle);
+      co_await WaitOnTimer(mFollowWake, kIdle);
       continue;
     }
     const bool read = co_await FollowOnce();
@@ -148,7 +148,7 @@
     if (!read) {
       const Millis pause =
           FailurePause(failures, kFirstReadPause, kLongestReadPause);
-      co_await Rest(mFollowWake, mJitter.HalfToAll(pause));
+      co_await WaitOnTimer(mFollowWake, mJitter.HalfToAll(pause));
     }
   }
 }
--- a/src/librillwall_rollout/item_run.cpp
+++ b/src/librillwall_rollout/item_run.cpp
@@ -58,8 +58,8 @@
   for (const RolloutHeader& header : item.mHeaders) {
     request.mHeaders.push_back({header.mName, header.mValue});
   }
-  NameAccount(aNode, *aNode.mRoutes.Read(), aStep.mBook.Spec().mAccount,
-              request.mHeaders);
+  SetAccountHeader(aNode, *aNode.mRoutes.Read(), aStep.mBook.Spec().mAccount,
+                   request.mHeaders);
   request.mHeaders.push_back({names.mRequestId, item.mId});
   request.mHeaders.push_back({names.mExpectReplica, aReplica.mId});
   const Millis left = std::max(Millis(1), aStep.mGiveUpAt - aNode.Now());
--- a/src/librillwall_rollout/lead_claim.cpp
+++ b/src/librillwall_rollout/lead_claim.cpp
@@ -72,7 +72,7 @@
   }
 }
 
-asio::awaitable<void> LeadClaim::RunReserve(Millis aPatience) {
+asio::awaitable<void> LeadClaim::RunAsFallback(Millis aPatience) {
   Millis knownAt = mNode.Now();
   while (!mNode.mStopping) {
     if (Held()) {
--- a/src/librillwall_rollout/lead_claim_test.cpp
+++ b/src/librillwall_rollout/lead_claim_test.cpp
@@ -21,11 +21,11 @@
     report.mSequence = mSequence;
     co_return report;
   }
-  asio::awaitable<Result<OrderAnswer>> Order(Replica aReplica,
-                                             VersionOrder aOrder) override {
+  asio::awaitable<Result<OrderOutcome>> Order(Replica aReplica,
+                                              VersionOrder aOrder) override {
     mOrders.push_back(aOrder);
     if (aOrder.mExpected != mSequence) {
-      co_return OrderAnswer::Conflict;
+      co_return OrderOutcome::Conflict;
     }
     if (mLoseOrders > 0) {
       --mLoseOrders;
@@ -33,7 +33,7 @@
     }
     ++mSequence;
     mVersion = aOrder.mVersion;
-    co_return OrderAnswer::Started;
+    co_return OrderOutcome::Started;
   }
   asio::io_context& mIo;
   std::vector<VersionOrder> mOrders;
@@ -191,7 +191,7 @@
     TestNode other(mWorld, "n2-run");
     other.mNode.mIdentity.mName = "n2";
     LeadClaim claim(other.mNode, [] {});
-    claim.SetWitnesses([&](std::string aAddress) -> asio::awaitable<bool> {
+    claim.SetPeerProbe([&](std::string aAddress) -> asio::awaitable<bool> {
       CPPUNIT_ASSERT_EQUAL(std::string("n1-address"), aAddress);
       co_return aNobodyReachesHolder;
     });
@@ -223,7 +223,7 @@
   }
 
   void ReserveLeadsIfNobodyDoes() {
-    Launch(mTest.mIo, "one", mOne.RunReserve(Millis(1000)));
+    Launch(mTest.mIo, "one", mOne.RunAsFallback(Millis(1000)));
     mTest.RunFor(Millis(300));
     CPPUNIT_ASSERT(!mOne.Held());
     mTest.RunUntil([&] { return mOne.Held() && mOne.MayOrder(); });
@@ -233,7 +233,7 @@
   void ReserveLeavesACandidateAlone() {
     Launch(mTest.mIo, "one", mOne.Run());
     mTest.RunUntil([&] { return mOne.Held(); });
-    Launch(mTest.mIo, "two", mTwo.RunReserve(Millis(0)));
+    Launch(mTest.mIo, "two", mTwo.RunAsFallback(Millis(0)));
     mTest.RunUntil([&] { return mTwo.Known().has_value(); });
     CPPUNIT_ASSERT(!mTwo.Held());
     mTwo.Forget();
@@ -296,8 +296,8 @@
     mReplica.mVersion = 1;
     mTest.Add(mReplica, "s");
     mOrders.emplace(mTest.mNode, mOne, mControl);
-    mOrders->Name("m", 2);
-    mOrders->Name("m", 1);  // an older one changes nothing
+    mOrders->SetTargetVersion("m", 2);
+    mOrders->SetTargetVersion("m", 1);  // an older one changes nothing
     Launch(mTest.mIo, "one", mOne.Run());
     Launch(mTest.mIo, "orders", mOrders->Run());
     mTest.RunUntil(
@@ -319,7 +319,7 @@
     mReplica.mVersion = 1;
     mTest.Add(mReplica, "s");
     mOrders.emplace(mTest.mNode, mOne, mControl);
-    mOrders->Name("m", 2);
+    mOrders->SetTargetVersion("m", 2);
     Launch(mTest.mIo, "orders", mOrders->Run());
     mTest.RunFor(Millis(200));
     CPPUNIT_ASSERT(mControl.mOrders.empty());
--- a/src/librillwall_rollout/node_context.cpp
+++ b/src/librillwall_rollout/node_context.cpp
@@ -48,14 +48,14 @@
   co_return answer ? std::optional(answer->mStatus) : std::nullopt;
 }
 
-asio::awaitable<void> Rest(asio::steady_timer& aTimer, Millis aSpan) {
+asio::awaitable<void> WaitOnTimer(asio::steady_timer& aTimer, Millis aSpan) {
   aTimer.expires_after(std::chrono::milliseconds(aSpan.Count()));
   co_await aTimer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
 asio::awaitable<void> Sleep(asio::io_context& aIo, Millis aSpan) {
   asio::steady_timer timer(aIo);
-  co_await Rest(timer, aSpan);
+  co_await WaitOnTimer(timer, aSpan);
 }
 
 void Launch(asio::io_context& aIo, std::string aName,
--- a/src/librillwall_rollout/relay.cpp
+++ b/src/librillwall_rollout/relay.cpp
@@ -67,8 +67,8 @@
     return boost::iequals(aHeader.mName, names.mTimeLeft) ||
            boost::iequals(aHeader.mName, names.mExpectReplica);
   });
-  NameAccount(aNode, *aNode.mRoutes.Read(), aCaller.mAccount,
-              call.mRequest.mHeaders);
+  SetAccountHeader(aNode, *aNode.mRoutes.Read(), aCaller.mAccount,
+                   call.mRequest.mHeaders);
   call.mAccount = aCaller.mAccount;
   const std::string* service =
       PickService(aRoute, std::hash<std::string>()(aId));
@@ -76,7 +76,7 @@
   call.mKind = aRoute.mKind;
   call.mAttempts = aRoute.mAttempts;
   call.mTargetLatency = aRoute.mTargetLatency;
-  call.mDue = DueOf(aNode, aRoute, aRequest);
+  call.mDeadline = DeadlineOf(aNode, aRoute, aRequest);
   call.mRegions = RegionsOf(*aNode.mRoutes.Read(), aRoute, aCaller.mAccount);
   return call;
 }
@@ -105,7 +105,8 @@
   }
 }
 
-asio::awaitable<void> PassAnswer(UpstreamAnswer aAnswer, const std::string& aId,
+asio::awaitable<void> PassAnswer(UpstreamResponse aAnswer,
+                                 const std::string& aId,
                                  HttpExchange& aExchange) {
   aAnswer.mHead.mHeaders = EndToEndHeaders(aAnswer.mHead.mHeaders);
   if (!aAnswer.mRest) {
@@ -129,10 +130,10 @@
                                     const Route& aRoute, Millis aStarted,
                                     HttpExchange& aExchange) {
   const std::string id = aCall.mId;
-  Result<UpstreamAnswer> answer =
+  Result<UpstreamResponse> answer =
       co_await CallUpstream(aNode, std::move(aCall));
   if (!answer) {
-    co_await Refuse(aNode, id, answer.error(), aExchange);
+    co_await RespondWithError(aNode, id, answer.error(), aExchange);
     co_return;
   }
   const std::string labels = "route=\"" + aRoute.mName + "\",status=\"" +
@@ -169,8 +170,8 @@
   return id == nullptr || id->empty() ? nullptr : id;
 }
 
-Millis DueOf(const NodeContext& aNode, const Route& aRoute,
-             const HttpRequest& aRequest) {
+Millis DeadlineOf(const NodeContext& aNode, const Route& aRoute,
+                  const HttpRequest& aRequest) {
   Millis span = aRoute.mTimeout > Millis(0) ? aRoute.mTimeout : kDefaultTimeout;
   const std::string* left = aRequest.Find(aNode.mHeaders.mTimeLeft);
   const std::optional<int64_t> client =
@@ -197,8 +198,8 @@
   return response;
 }
 
-asio::awaitable<void> Refuse(NodeContext& aNode, std::string aId, Error aError,
-                             HttpExchange& aExchange) {
+asio::awaitable<void> RespondWithError(NodeContext& aNode, std::string aId,
+                                       Error aError, HttpExchange& aExchange) {
   HttpResponse response = ErrorAnswer(aError);
   const std::string labels = "status=\"" + std::to_string(response.mStatus) +
                              "\",reason=\"" + ErrorName(aError.Kind()) + "\"";
@@ -224,7 +225,8 @@
                 "The request has no identity; send the "
                 "header " +
                     aNode.mHeaders.mRequestId + ".");
-    co_await Refuse(aNode, std::string(), std::move(error), aExchange);
+    co_await RespondWithError(aNode, std::string(), std::move(error),
+                              aExchange);
     co_return;
   }
   const Millis started = aNode.Now();
@@ -235,7 +237,7 @@
       .Text("account", aCaller.mAccount)
       .Text("service", call.mService)
       .Number("config", aNode.mRoutes.Read()->Version())
-      .Number("left_ms", (call.mDue - started).Count())
+      .Number("left_ms", (call.mDeadline - started).Count())
       .Write();
   asio::steady_timer gone(aNode.mIo);
   gone.expires_at(asio::steady_timer::time_point::max());
--- a/src/librillwall_rollout/rollout_accept.cpp
+++ b/src/librillwall_rollout/rollout_accept.cpp
@@ -206,7 +206,7 @@
   step->mAccepted = false;
   aAcceptance->mStep = step;
   AdoptTexts(*step);
-  Pump();
+  StartReadyItems();
 }
 
 void RolloutService::AdoptTexts(RolloutStep& aStep) {
--- a/src/librillwall_rollout/rollout_recovery.cpp
+++ b/src/librillwall_rollout/rollout_recovery.cpp
@@ -292,7 +292,7 @@
       .Number("with_disk", withDisk)
       .Write();
   mNode.mMetrics.Count("steps_taken_over_total");
-  Pump();
+  StartReadyItems();
   co_return step;
 }
 
--- a/src/librillwall_rollout/rollout_run.cpp
+++ b/src/librillwall_rollout/rollout_run.cpp
@@ -92,7 +92,7 @@
 
 }  // namespace
 
-void RolloutService::Pump() {
+void RolloutService::StartReadyItems() {
   std::vector<StepPtr> steps = RunningSteps();
   // The older first: a trainer names its next version when its older step ends.
   std::sort(steps.begin(), steps.end(),
@@ -188,7 +188,7 @@
 
 asio::awaitable<void> RolloutService::RunItem(StepPtr aStep, size_t aItem,
                                               Replica aReplica) {
-  ReplicaUse use(mNode, aReplica.mId, aStep->mBook.Spec().mModel);
+  InFlightRequest use(mNode, aReplica.mId, aStep->mBook.Spec().mModel);
   RolloutBook& book = aStep->mBook;
   const int64_t before = book.Text(aItem).mEvents;
   std::string why;
@@ -216,7 +216,7 @@
   }
   if (end == ItemRunEnd::Whole) {
     mLengths.Learn(book.Item(aItem).mLengthHint, book.Text(aItem).mEvents);
-    Pump();
+    StartReadyItems();
     co_await ScoreItem(aStep, aItem);
   } else if (end == ItemRunEnd::Impossible) {
     book.Impossible(aItem);
@@ -224,7 +224,7 @@
     book.Interrupted(aItem, end == ItemRunEnd::Failed);
   }
   ScheduleFlush(aStep);
-  Pump();
+  StartReadyItems();
 }
 
 void RolloutService::MoveFromSlow(const StepPtr& aStep) {
@@ -277,10 +277,11 @@
     call.mService = *service;
     call.mRegions = RegionsOf(*routes, *route, aStep->mBook.Spec().mAccount);
     call.mKind = RequestKind::Idempotent;
-    call.mDue = mNode.Now() +
-                std::max(kScorerLimit, route->mTargetLatency * kScorerTargets);
+    call.mDeadline =
+        mNode.Now() +
+        std::max(kScorerLimit, route->mTargetLatency * kScorerTargets);
     const int most = std::max(route->mAttempts, aStep->mRoute.mAttempts);
-    const Result<UpstreamAnswer> answer =
+    const Result<UpstreamResponse> answer =
         co_await CallUpstream(mNode, std::move(call));
     const int status = answer ? answer->mHead.mStatus : 0;
     const std::string* signature =
--- a/src/librillwall_rollout/rollout_service.cpp
+++ b/src/librillwall_rollout/rollout_service.cpp
@@ -98,17 +98,18 @@
   return step;
 }
 
-asio::awaitable<Result<RolloutPlace>> RolloutService::Locate(std::string aId,
-                                                             bool aAdopt) {
+asio::awaitable<Result<RolloutLocation>> RolloutService::Locate(std::string aId,
+                                                                bool aAdopt) {
   if (mAcceptances.contains(aId)) {
     co_return Error(ErrorKind::Unavailable, "The step is being accepted.");
   }
   if (mSteps.contains(aId) || mArchives.Knows(aId)) {
-    co_return RolloutPlace{RolloutPlace::Kind::Here, {}, false};
+    co_return RolloutLocation{RolloutLocation::Kind::Local, {}, false};
   }
   const auto known = mPlaces.find(aId);
   if (known != mPlaces.end() && !aAdopt) {
-    co_return RolloutPlace{RolloutPlace::Kind::There, known->second, false};
+    co_return RolloutLocation{RolloutLocation::Kind::Remote, known->second,
+                              false};
   }
   const Result<std::optional<StoreItem>> item =
       co_await mNode.mStore.Get(StepKey(aId));
@@ -116,7 +117,7 @@
     co_return item.error();
   }
   if (!*item) {
-    co_return RolloutPlace{RolloutPlace::Kind::Unknown, {}, false};
+    co_return RolloutLocation{RolloutLocation::Kind::Unknown, {}, false};
   }
   const Result<StepRecord> record = DecodeStepRecord((*item)->mValue);
   if (!record) {
@@ -133,8 +134,8 @@
       mPlaces.clear();
     }
     mPlaces[aId] = record->mAddress;
-    co_return RolloutPlace{RolloutPlace::Kind::There, record->mAddress,
-                           record->mEnded};
+    co_return RolloutLocation{RolloutLocation::Kind::Remote, record->mAddress,
+                              record->mEnded};
   }
   if (record->mEnded) {
     const std::optional<Error> failed = co_await LoadArchive(aId);
@@ -148,14 +149,16 @@
       co_return step.error();
     }
   }
-  co_return RolloutPlace{RolloutPlace::Kind::Here, {}, record->mEnded};
+  co_return RolloutLocation{RolloutLocation::Kind::Local, {}, record->mEnded};
 }
 
 bool RolloutService::Knows(const std::string& aId) const {
   return mSteps.contains(aId) || mArchives.Knows(aId) || mPlaces.contains(aId);
 }
 
-void RolloutService::ForgetPlace(const std::string& aId) { mPlaces.erase(aId); }
+void RolloutService::ForgetLocation(const std::string& aId) {
+  mPlaces.erase(aId);
+}
 
 asio::awaitable<Result<RolloutRead>> RolloutService::Read(std::string aId,
                                                           int64_t aAfter,
@@ -341,7 +344,7 @@
              co_await aSelf->VerifyAll();
            }(this));
   }
-  Pump();
+  StartReadyItems();
 }
 
 }  // namespace rillwall
--- a/src/librillwall_rollout/rollout_service_test.cpp
+++ b/src/librillwall_rollout/rollout_service_test.cpp
@@ -152,7 +152,7 @@
     });
     return results;
   }
-  RolloutPlace::Kind Place(bool aAdopt = false) {
+  RolloutLocation::Kind Place(bool aAdopt = false) {
     return Test().Run(Service().Locate("s1", aAdopt))->mKind;
   }
 
@@ -370,7 +370,7 @@
     Steal();
     Test().RunUntil([&] { return !Service().Owns("s1"); });
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mWorld.mStore.CountOf(PagePrefix("s1")));
-    CPPUNIT_ASSERT(Place() == RolloutPlace::Kind::There);
+    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Remote);
   }
 
   void OwnerNoticesThatAStepWasTaken() {
@@ -409,7 +409,7 @@
     mEngine.mOtherwise.mEventTime = Millis(20000);
     Accept();
     Restart("n1-again");
-    CPPUNIT_ASSERT(Place() == RolloutPlace::Kind::Here);
+    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mWorld.mStore.CountOf(TakenKey("n1-run")));
   }
 
@@ -441,7 +441,7 @@
     Test().Run(Service().End("s1"));
     CPPUNIT_ASSERT(listed == Read()->mResults);
     Restart("n1-again");
-    CPPUNIT_ASSERT(Place() == RolloutPlace::Kind::Here);
+    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
     CPPUNIT_ASSERT(listed == Read()->mResults);
     CPPUNIT_ASSERT(Read(1)->mResults.at(0) == listed[1]);
   }
@@ -452,7 +452,7 @@
     Accept();
     const std::vector<RolloutResult> before = Listed(1);
     Restart("n1-again");
-    CPPUNIT_ASSERT(Place() == RolloutPlace::Kind::Here);
+    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
     const std::vector<RolloutResult> after = Listed(2);
     CPPUNIT_ASSERT(before[0] == after[0]);
     CPPUNIT_ASSERT(after[0].mItem != after[1].mItem);
@@ -471,7 +471,7 @@
     AcceptLongTexts();
     Restart("n1-again");
     const size_t before = mEngine.mRequests.size();
-    CPPUNIT_ASSERT(Place() == RolloutPlace::Kind::Here);
+    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
     Test().RunUntil([&] { return mEngine.mRequests.size() == before + 2; });
     for (size_t i = before; i < before + 2; ++i) {
       const std::string* last = mEngine.mRequests[i].Find("Last-Event");
@@ -524,7 +524,7 @@
     Restart("n1-again");
     Service().mSpool.Open(folder, kAnySize);
     mWorld.mStore.mDown = false;
-    CPPUNIT_ASSERT(Place() == RolloutPlace::Kind::Here);
+    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Listed(2).size());
     CPPUNIT_ASSERT_EQUAL(before, mEngine.mRequests.size());
     CPPUNIT_ASSERT(!Test().Run(Service().End("s1")));
@@ -560,7 +560,7 @@
     CPPUNIT_ASSERT(!Accept());
     Test().RunFor(Millis(100));
     CPPUNIT_ASSERT_EQUAL(requests, mEngine.mRequests.size());
-    CPPUNIT_ASSERT(Place() == RolloutPlace::Kind::Here);
+    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
     CPPUNIT_ASSERT(before == Listed(2));
   }
 
@@ -569,7 +569,7 @@
     const ResultPage other{0, {{"i1", RolloutEnd::Terminated, "", {}, ""}}, 2};
     mWorld.mStore.Write(PageKey("s1", 0), EncodeResultPage(other));
     Test().RunUntil([&] { return !Service().Owns("s1"); });
-    CPPUNIT_ASSERT(Place() == RolloutPlace::Kind::Here);
+    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
     CPPUNIT_ASSERT(Listed(2)[0] == other.mResults[0]);
   }
 
@@ -703,7 +703,7 @@
   }
 
   void UnknownStepIsUnknown() {
-    CPPUNIT_ASSERT(Place() == RolloutPlace::Kind::Unknown);
+    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Unknown);
     mWorld.mStore.mDown = true;
     CPPUNIT_ASSERT(!Test().Run(Service().Locate("s1", false)).has_value());
   }
--- a/src/librillwall_rollout/suspects.cpp
+++ b/src/librillwall_rollout/suspects.cpp
@@ -57,7 +57,8 @@
 
 }  // namespace
 
-HttpResponse AnswerSuspects(NodeContext& aNode, const HttpRequest& aRequest) {
+HttpResponse HandleSuspectsRequest(NodeContext& aNode,
+                                   const HttpRequest& aRequest) {
   if (aRequest.mMethod == "GET") {
     return List(aNode);
   }
--- a/src/librillwall_rollout/suspects_test.cpp
+++ b/src/librillwall_rollout/suspects_test.cpp
@@ -25,7 +25,7 @@
     HttpRequest request;
     request.mMethod = aMethod;
     request.mTarget = kSuspectsPath + aQuery;
-    return AnswerSuspects(mTest.mNode, request);
+    return HandleSuspectsRequest(mTest.mNode, request);
   }
   HttpResponse Do(const std::string& aAction) {
     return Ask("POST", "?action=" + aAction + "&request=" + mDigest.Text());
--- a/src/librillwall_rollout/upstream_call.cpp
+++ b/src/librillwall_rollout/upstream_call.cpp
@@ -36,7 +36,7 @@
   const UpstreamCall mCall;
   CallAttempts mAttempts;
   ReplicaWish mWish;
-  std::optional<UpstreamAnswer> mFailedAnswer;  ///< best of the failed ones
+  std::optional<UpstreamResponse> mFailedAnswer;  ///< best of the failed ones
   bool mCounted = false;  ///< it has begun to run at some replica
   std::optional<RequestDigest> mDigest;  ///< once it is needed
 };
@@ -90,7 +90,7 @@
 /// How one try ended.
 struct TryResult {
   TryEnd mEnd = TryEnd::NotSent;
-  UpstreamAnswer mAnswer;
+  UpstreamResponse mAnswer;
   std::string mWhy;
   bool mClosed = false;  ///< the replica closed the connection
   bool mEnded = false;   ///< its process has ended since
@@ -243,7 +243,7 @@
 
 asio::awaitable<TryResult> TryOnce(CallRun& aRun, const Replica& aReplica) {
   NodeContext& node = aRun.mNode;
-  const Millis left = aRun.mCall.mDue - node.Now();
+  const Millis left = aRun.mCall.mDeadline - node.Now();
   const Millis limit = TryLimit(aRun, left);
   const Millis due = node.Now() + limit;
   TryResult result;
@@ -300,7 +300,7 @@
       .Text("replica", aReplica)
       .Number("try", aRun.mAttempts.Tries())
       .Number("status", aResult.mAnswer.mHead.mStatus)
-      .Number("left_ms", (aRun.mCall.mDue - aRun.mNode.Now()).Count())
+      .Number("left_ms", (aRun.mCall.mDeadline - aRun.mNode.Now()).Count())
       .Text("why", aResult.mWhy)
       .Text("request", LoggedDigest(aRun, aResult))
       .Flag("replica_ended", aResult.mEnded)
@@ -317,12 +317,12 @@
   }
 }
 
-asio::awaitable<Result<UpstreamAnswer>> Run(CallRun& aRun) {
+asio::awaitable<Result<UpstreamResponse>> Run(CallRun& aRun) {
   NodeContext& node = aRun.mNode;
   bool timeIsUp = false;
   while (true) {
     const bool cancelled = co_await Cancelled();
-    timeIsUp = node.Now() >= aRun.mCall.mDue;
+    timeIsUp = node.Now() >= aRun.mCall.mDeadline;
     if (timeIsUp || cancelled) {
       break;
     }
@@ -344,7 +344,7 @@
       continue;
     }
     const Replica replica = *node.mReplicas.Find(*id);
-    ReplicaUse use(node, *id);
+    InFlightRequest use(node, *id);
     RunCount count(aRun);
     TryResult result = co_await TryOnce(aRun, replica);
     if (result.mEnd == TryEnd::NotSent || result.mEnd == TryEnd::Refused) {
@@ -379,8 +379,8 @@
 
 }  // namespace
 
-ReplicaUse::ReplicaUse(NodeContext& aNode, std::string aReplica,
-                       std::string aModel)
+InFlightRequest::InFlightRequest(NodeContext& aNode, std::string aReplica,
+                                 std::string aModel)
     : mNode(aNode),
       mReplica(std::move(aReplica)),
       mModel(std::move(aModel)),
@@ -389,9 +389,9 @@
   mNode.mReplicas.Sent(mReplica, mStarted);
 }
 
-ReplicaUse::~ReplicaUse() { End(ReplicaOutcome::Abandoned); }
+InFlightRequest::~InFlightRequest() { End(ReplicaOutcome::Abandoned); }
 
-void ReplicaUse::End(ReplicaOutcome aOutcome, bool aStream) {
+void InFlightRequest::End(ReplicaOutcome aOutcome, bool aStream) {
   if (!mOpen) {
     return;
   }
@@ -401,10 +401,10 @@
   mNode.mReplicas.End(mReplica, aOutcome, latency, now, mModel);
 }
 
-asio::awaitable<Result<UpstreamAnswer>> CallUpstream(NodeContext& aNode,
-                                                     UpstreamCall aCall) {
+asio::awaitable<Result<UpstreamResponse>> CallUpstream(NodeContext& aNode,
+                                                       UpstreamCall aCall) {
   CallRun run(aNode, std::move(aCall));
-  Result<UpstreamAnswer> answer = co_await Run(run);
+  Result<UpstreamResponse> answer = co_await Run(run);
   co_return answer;
 }
 
--- a/src/librillwall_rollout/upstream_call_test.cpp
+++ b/src/librillwall_rollout/upstream_call_test.cpp
@@ -60,11 +60,11 @@
     call.mService = "s";
     call.mKind = aKind;
     call.mAttempts = aAttempts;
-    call.mDue = mTest.mNode.Now() + Millis(1500);
+    call.mDeadline = mTest.mNode.Now() + Millis(1500);
     call.mTargetLatency = Millis(100);
     return call;
   }
-  Result<UpstreamAnswer> Call(RequestKind aKind, int aAttempts) {
+  Result<UpstreamResponse> Call(RequestKind aKind, int aAttempts) {
     return mTest.Run(CallUpstream(mTest.mNode, CallOf(aKind, aAttempts)));
   }
   size_t Sent() const { return mOne.mRequests.size() + mTwo.mRequests.size(); }
--- a/src/librillwall_rollout/usage_duty.cpp
+++ b/src/librillwall_rollout/usage_reporter.cpp
@@ -1,4 +1,4 @@
-#include "rillwall/usage_duty.h"
+#include "rillwall/usage_reporter.h"
 
 #include <algorithm>
 
@@ -30,10 +30,11 @@
 
 }  // namespace
 
-UsageDuty::UsageDuty(NodeContext& aNode, LeadClaim& aLead, UsagePort& aPort)
+UsageReporter::UsageReporter(NodeContext& aNode, LeadClaim& aLead,
+                             UsagePort& aPort)
     : mNode(aNode), mLead(aLead), mPort(aPort), mJitter(0) {}
 
-void UsageDuty::Take(const NodeEntry& aFrom, const std::string& aText) {
+void UsageReporter::Take(const NodeEntry& aFrom, const std::string& aText) {
   if (aFrom.mTakesClients) {
     mBook.Heard(aFrom.mAddress, mNode.Now());
   }
@@ -48,7 +49,7 @@
   mBook.Told(told->mRun, told->mCounts);
 }
 
-asio::awaitable<void> UsageDuty::Run() {
+asio::awaitable<void> UsageReporter::Run() {
   mJitter = Jitter(std::hash<std::string>()(mNode.mIdentity.mRun));
   while (!mNode.mStopping) {
     co_await Sleep(mNode.mIo, kTick);
@@ -69,7 +70,7 @@
   }
 }
 
-asio::awaitable<bool> UsageDuty::Recover() {
+asio::awaitable<bool> UsageReporter::Recover() {
   const int64_t fence = mLead.Fence();
   const Result<StoreList> list = co_await ListAll(mNode.mStore, UsagePrefix());
   if (!list || fence != mLead.Fence()) {
@@ -102,7 +103,7 @@
   co_return true;
 }
 
-bool UsageDuty::MayFix(int64_t aWindow) const {
+bool UsageReporter::MayFix(int64_t aWindow) const {
   const Millis past(mNode.mTimeOfDay() - mNode.mUsage.EndOf(aWindow));
   const Millis now = mNode.Now();
   if (past < kSettle) {
@@ -113,7 +114,7 @@
   return last || (known && mBook.AllHeardSince(now - past + kSettle, now));
 }
 
-UsageReport UsageDuty::Collect() {
+UsageReport UsageReporter::Collect() {
   // A lead that takes requests itself tells itself.
   const std::string& run = mNode.mIdentity.mRun;
   mBook.Told(run, mNode.mUsage.Untold(run));
@@ -121,7 +122,7 @@
   return {mNext, mBook.Sum(mNext)};
 }
 
-StoreChange UsageDuty::FixingChange(const UsageReport& aReport) const {
+StoreChange UsageReporter::FixingChange(const UsageReport& aReport) const {
   const std::string key = UsageKey(aReport.mWindow);
   StoreChange change;
   change.mGuards = {mLead.Guard(), {key, 0}};
@@ -134,7 +135,7 @@
   return change;
 }
 
-asio::awaitable<void> UsageDuty::Fix() {
+asio::awaitable<void> UsageReporter::Fix() {
   UsageReport report = Collect();
   const int64_t fence = mFence;
   const Result<StoreCommit> done =
@@ -164,7 +165,8 @@
   ++mNext;
 }
 
-void UsageDuty::LogFixed(const UsageReport& aReport, bool aByThisClaim) const {
+void UsageReporter::LogFixed(const UsageReport& aReport,
+                             bool aByThisClaim) const {
   int64_t requests = 0;
   for (const auto& [account, count] : aReport.mCounts) {
     requests += count;
@@ -180,7 +182,7 @@
       .Write();
 }
 
-asio::awaitable<void> UsageDuty::Send() {
+asio::awaitable<void> UsageReporter::Send() {
   // Copied, as the answer comes later than another change may.
   std::vector<int64_t> due;
   for (const auto& [window, fixed] : mFixed) {
@@ -193,7 +195,7 @@
       co_return;
     }
     Fixed& fixed = mFixed[window];
-    DutyClaim claim{mNode.mIdentity.mName, mLead.Fence()};
+    FencingToken claim{mNode.mIdentity.mName, mLead.Fence()};
     const std::optional<Error> failed =
         co_await mPort.Report(fixed.mReport, std::move(claim));
     ++fixed.mTries;
@@ -214,7 +216,7 @@
   }
 }
 
-void UsageDuty::ForgetOld() {
+void UsageReporter::ForgetOld() {
   const int64_t oldest =
       mNode.mUsage.WindowAt(mNode.mTimeOfDay() - mLate.Count() * kKeepTimes);
   mBook.Forget(oldest, mNode.Now());
--- a/src/librillwall_rollout/usage_duty_test.cpp
+++ b/src/librillwall_rollout/usage_reporter_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "rillwall/usage_duty.h"
+#include "rillwall/usage_reporter.h"
 #include "rollout_test_support.h"
 
 namespace rillwall {
@@ -20,7 +20,7 @@
 class FakePlatform final : public UsagePort {
  public:
   asio::awaitable<std::optional<Error>> Report(UsageReport aReport,
-                                               DutyClaim aClaim) override {
+                                               FencingToken aClaim) override {
     mReports.push_back(aReport);
     mClaims.push_back(aClaim);
     if (mLost > 0) {
@@ -36,7 +36,7 @@
   }
 
   std::vector<UsageReport> mReports;
-  std::vector<DutyClaim> mClaims;
+  std::vector<FencingToken> mClaims;
   int mLost = 0;  ///< answers of the next reports
 };
 
@@ -50,7 +50,7 @@
     node.mBounds.mLease = Millis(50);
     node.mUsage.SetWindow(kWindow);
     node.mTimeOfDay = [&aTimeOfDay] { return aTimeOfDay; };
-    mDuty.SetLate(kLate);
+    mDuty.SetReportDelay(kLate);
     Launch(mTest.mIo, "lead", mLead.Run());
     Launch(mTest.mIo, "usage", mDuty.Run());
   }
@@ -61,13 +61,13 @@
   TestNode mTest;
   LeadClaim mLead{mTest.mNode, [] {}};
   FakePlatform mPlatform;
-  UsageDuty mDuty{mTest.mNode, mLead, mPlatform};
+  UsageReporter mDuty{mTest.mNode, mLead, mPlatform};
 };
 
 }  // namespace
 
-class UsageDutyTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(UsageDutyTest);
+class UsageReporterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(UsageReporterTest);
   CPPUNIT_TEST(WindowIsReportedOnceUnderTheClaim);
   CPPUNIT_TEST(NothingIsReportedBeforeHostsHaveTold);
   CPPUNIT_TEST(SilentHostIsNotWaitedForTooLong);
@@ -86,7 +86,7 @@
   void PassWindows(int64_t aCount) { mTimeOfDay += aCount * kWindow.Count(); }
 
  public:
-  ~UsageDutyTest() override { mWorld.mIo.Close(); }
+  ~UsageReporterTest() override { mWorld.mIo.Close(); }
 
  private:
   void WindowIsReportedOnceUnderTheClaim() {
@@ -103,7 +103,7 @@
         [](const UsageReport& aOne) { return aOne.mWindow == 100; });
     const AccountCounts expected{{"a", 3}, {"b", 4}};
     CPPUNIT_ASSERT(expected == report->mCounts);
-    const DutyClaim claim{"one", one.mLead.Fence()};
+    const FencingToken claim{"one", one.mLead.Fence()};
     CPPUNIT_ASSERT(claim == one.mPlatform.mClaims.front());
   }
 
@@ -193,6 +193,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(UsageDutyTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(UsageReporterTest);
 
 }  // namespace rillwall
--- a/src/librillwall_rollout/view_exchange.cpp
+++ b/src/librillwall_rollout/view_exchange.cpp
@@ -137,15 +137,15 @@
   if (!question.mFrom.mAddress.empty()) {
     mNodes.Heard(question.mFrom, now);
   }
-  const bool leads = mOnTold && mLead.Held();
+  const bool leads = mOnUsage && mLead.Held();
   if (leads) {
-    mOnTold(question.mFrom, aRequest.mBody);
+    mOnUsage(question.mFrom, aRequest.mBody);
   }
   if (question.mHelp && !mLead.Held()) {
     const bool begins = !Helping();
     mHelpAskedAt = now;
-    if (begins && mOnHelpAsked) {
-      mOnHelpAsked();
+    if (begins && mOnHelpRequested) {
+      mOnHelpRequested();
     }
   }
   HttpResponse response;
@@ -174,7 +174,7 @@
   return response;
 }
 
-HttpResponse ViewExchange::AnswerConfig() {
+HttpResponse ViewExchange::HandleConfigRequest() {
   if (mPackedConfig.empty()) {
     mPackedConfig = Compressed(mConfig.mText);
   }
@@ -186,7 +186,7 @@
   return response;
 }
 
-asio::awaitable<HttpResponse> ViewExchange::AnswerReach(
+asio::awaitable<HttpResponse> ViewExchange::HandleReachRequest(
     const HttpRequest& aRequest) {
   const std::string address = aRequest.Query("address");
   const bool leads = mLead.Known() && mLead.Known()->mAddress == address;
@@ -202,7 +202,7 @@
   co_return response;
 }
 
-asio::awaitable<bool> ViewExchange::NobodyReaches(std::string aAddress) {
+asio::awaitable<bool> ViewExchange::ConfirmUnreachable(std::string aAddress) {
   const std::vector<std::string> nodes =
       mNodes.Relays(mNode.mIdentity.mAddress);
   // Spread over the list, which is in the order of addresses.
@@ -272,7 +272,7 @@
   return mLead.Known() && mLead.Known()->mAddress == aAddress;
 }
 
-std::optional<std::string> ViewExchange::KeeperOf(
+std::optional<std::string> ViewExchange::ArchiveHostOf(
     const std::string& aStep) const {
   const std::vector<std::string> candidates =
       mNodes.Candidates(mNode.mIdentity.mAddress);
@@ -354,7 +354,8 @@
   return request;
 }
 
-asio::awaitable<std::optional<ViewNews>> ViewExchange::Ask(ViewSource aSource) {
+asio::awaitable<std::optional<ViewUpdate>> ViewExchange::Ask(
+    ViewSource aSource) {
   const std::optional<std::string> address = AddressOf(aSource);
   const Result<Endpoint> endpoint =
       address ? Endpoint::Parse(*address)
@@ -396,8 +397,8 @@
   co_return co_await Take(std::move(*view), *endpoint);
 }
 
-asio::awaitable<std::optional<ViewNews>> ViewExchange::Take(SharedView aView,
-                                                            Endpoint aFrom) {
+asio::awaitable<std::optional<ViewUpdate>> ViewExchange::Take(SharedView aView,
+                                                              Endpoint aFrom) {
   TakeCrashNews(mNode, aView.mCrashes, aView.mRun);
   mCrashesRun = aView.mRun;
   mCrashesNumber = aView.mCrashNumber;
@@ -411,7 +412,7 @@
     co_return std::nullopt;
   }
   TakeNodes(aView);
-  ViewNews news;
+  ViewUpdate news;
   const bool changed = before.mDigest != mMirror.Mark().mDigest ||
                        mMirrorVersions != aView.mVersions;
   mMirrorVersions = aView.mVersions;
--- a/src/librillwall_rollout/view_exchange_test.cpp
+++ b/src/librillwall_rollout/view_exchange_test.cpp
@@ -99,14 +99,14 @@
         response = mView.Answer(aRequest);
       } else if (aRequest.Path() == kViewConfigPath) {
         ++mConfigsAsked;
-        response = mView.AnswerConfig();
+        response = mView.HandleConfigRequest();
       } else if (aRequest.Path() == kReachPath) {
-        response = co_await mView.AnswerReach(aRequest);
+        response = co_await mView.HandleReachRequest(aRequest);
       }
       co_await aExchange.Respond(std::move(response));
     }
     /// Asks whom it would ask if it were time to. Not the store.
-    std::optional<ViewNews> Ask() {
+    std::optional<ViewUpdate> Ask() {
       // Sees whether another node leads by now.
       mView.NextSource();
       mView.Plan().AskNow(Now());
@@ -157,7 +157,7 @@
 
  private:
   void EntryHostGetsTheLeadsView() {
-    const std::optional<ViewNews> news = mEntry.Ask();
+    const std::optional<ViewUpdate> news = mEntry.Ask();
     CPPUNIT_ASSERT(news->mReplicas == std::vector<Replica>{ReplicaOf("a")});
     // Each knows the other from then on.
     CPPUNIT_ASSERT(mGiver.mNodes.Knows(mEntry.Entry().mAddress));
@@ -181,7 +181,7 @@
   void OfManyReplicasASubsetIsTold() {
     Fill(mTable);
     mGiver.mView.ReadTable(mTable, mGiver.Now());
-    const std::optional<ViewNews> news = mEntry.Ask();
+    const std::optional<ViewUpdate> news = mEntry.Ask();
     CPPUNIT_ASSERT_EQUAL(RegistryTable::kUsualSubset, news->mReplicas->size());
     CPPUNIT_ASSERT(!mEntry.Ask()->mReplicas);
     // One that this host does not know goes, then one that it knows.
@@ -197,7 +197,7 @@
     mTable.Remove("i-" + std::to_string(other), 2, false);
     CPPUNIT_ASSERT(!mEntry.Ask()->mReplicas);
     mTable.Remove(known.mId, 3, false);
-    const std::optional<ViewNews> later = mEntry.Ask();
+    const std::optional<ViewUpdate> later = mEntry.Ask();
     CPPUNIT_ASSERT_EQUAL(RegistryTable::kUsualSubset, later->mReplicas->size());
     CPPUNIT_ASSERT(std::find(later->mReplicas->begin(), later->mReplicas->end(),
                              known) == later->mReplicas->end());
@@ -423,14 +423,14 @@
               R"(","host":"a.example","type":"idempotent","attempts":4},)";
     }
     mGiver.mView.Configured({text, 7});
-    const HttpResponse answer = mGiver.mView.AnswerConfig();
+    const HttpResponse answer = mGiver.mView.HandleConfigRequest();
     CPPUNIT_ASSERT(answer.mBody.size() * 10 < text.size());
     CPPUNIT_ASSERT(*mEntry.Ask()->mConfig == (ConfigText{text, 7}));
   }
 
   void ConfigurationIsFetchedOnce() {
     mGiver.mView.Configured({"the text", 7});
-    std::optional<ViewNews> news = mEntry.Ask();
+    std::optional<ViewUpdate> news = mEntry.Ask();
     CPPUNIT_ASSERT(news->mFollowsConfig);
     CPPUNIT_ASSERT(*news->mConfig == (ConfigText{"the text", 7}));
     mEntry.mView.Configured(*news->mConfig);
@@ -443,7 +443,7 @@
   void NodeThatDoesNotFollowSaysSo() {
     mGiver.mView.Configured({"the text", 7});
     mGiver.mView.Follows(false);
-    const std::optional<ViewNews> news = mEntry.Ask();
+    const std::optional<ViewUpdate> news = mEntry.Ask();
     CPPUNIT_ASSERT(news && !news->mFollowsConfig && !news->mConfig);
   }
 
@@ -502,7 +502,7 @@
 
   void HelperIsAskedToRead() {
     int told = 0;
-    mGiver.mView.mOnHelpAsked = [&told] { ++told; };
+    mGiver.mView.mOnHelpRequested = [&told] { ++told; };
     mEntry.mLead.Forget();
     mEntry.mNodes.Heard(mGiver.Entry(), mEntry.Now());
     CPPUNIT_ASSERT(!mGiver.mView.Helping());
@@ -524,7 +524,7 @@
     mEntry.mLead.Forget();
     mEntry.mNodes.Adopt({helper.Entry()}, mEntry.Now());
     CPPUNIT_ASSERT(!mEntry.Ask());
-    helper.mView.Unlisted();
+    helper.mView.ListingFailed();
     CPPUNIT_ASSERT(!mEntry.Ask());
     const ViewContacts alone{true, true, false};
     const Millis later = mEntry.Now() + Millis(3000);
@@ -554,7 +554,7 @@
     Node next{mWorld, "next", false};
     next.mView.Listed({ReplicaOf("a")}, next.Now());
     mEntry.mLead.Learn(next.Holder());
-    const std::optional<ViewNews> news = mEntry.Ask();
+    const std::optional<ViewUpdate> news = mEntry.Ask();
     CPPUNIT_ASSERT(news && !news->mReplicas);
     CPPUNIT_ASSERT_EQUAL(1, next.mAsked);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mEntry.mView.Told().size());
@@ -609,9 +609,9 @@
   }
 
   /// Asks the entry host, which asks on by a connection of its own.
-  bool NobodyReaches(Node& aBy, const std::string& aAddress) {
+  bool ConfirmUnreachable(Node& aBy, const std::string& aAddress) {
     std::optional<bool> result;
-    asio::co_spawn(aBy.mTest.mIo, aBy.mView.NobodyReaches(aAddress),
+    asio::co_spawn(aBy.mTest.mIo, aBy.mView.ConfirmUnreachable(aAddress),
                    [&](std::exception_ptr, bool aResult) { result = aResult; });
     aBy.mTest.RunUntil([&] {
       mEntry.mTest.mIo.poll();
@@ -627,13 +627,13 @@
     const std::string giver = mGiver.Entry().mAddress;
     Node candidate{mWorld, "candidate", false};
     candidate.mNodes.Adopt(mEntry.mNodes.List(), candidate.Now());
-    CPPUNIT_ASSERT(!NobodyReaches(candidate, giver));
+    CPPUNIT_ASSERT(!ConfirmUnreachable(candidate, giver));
     // A node that has gone; the entry host has heard of it.
     mEntry.mNodes.Heard({kGone, false}, mEntry.Now());
-    CPPUNIT_ASSERT(NobodyReaches(candidate, kGone));
+    CPPUNIT_ASSERT(ConfirmUnreachable(candidate, kGone));
     // Nobody is there to tell.
     candidate.mNodes.Adopt({}, candidate.Now());
-    CPPUNIT_ASSERT(!NobodyReaches(candidate, kGone));
+    CPPUNIT_ASSERT(!ConfirmUnreachable(candidate, kGone));
   }
 
   // Nodes are told a dozen of the others, which need not name the lead. Two
@@ -642,20 +642,20 @@
   void WhoDoesNotKnowANodeIsNoWitness() {
     Node candidate{mWorld, "candidate", false};
     candidate.mNodes.Adopt({mEntry.Entry()}, candidate.Now());
-    CPPUNIT_ASSERT(!NobodyReaches(candidate, kGone));
+    CPPUNIT_ASSERT(!ConfirmUnreachable(candidate, kGone));
     // It knows who leads, whether or not it was told of that node otherwise.
     mEntry.mLead.Learn({"gone", kGone, "run"});
-    CPPUNIT_ASSERT(NobodyReaches(candidate, kGone));
+    CPPUNIT_ASSERT(ConfirmUnreachable(candidate, kGone));
     const std::string giver = mGiver.Entry().mAddress;
     mEntry.mLead.Learn(mGiver.Holder());
-    CPPUNIT_ASSERT(!NobodyReaches(candidate, giver));
+    CPPUNIT_ASSERT(!ConfirmUnreachable(candidate, giver));
   }
 
   /// Counts one request on the entry host; the giver keeps what it is told.
   void CountOne(std::vector<std::string>& aTold) {
     mEntry.mTest.mNode.mUsage.SetWindow(Millis(5000));
     mEntry.mTest.mNode.mUsage.Count("a", 500000);
-    mGiver.mView.mOnTold = [&](const NodeEntry&, const std::string& aText) {
+    mGiver.mView.mOnUsage = [&](const NodeEntry&, const std::string& aText) {
       if (!aText.empty()) {
         aTold.push_back(aText);
       }
--- a/src/librillwall_rollout/weight_orders.cpp
+++ b/src/librillwall_rollout/weight_orders.cpp
@@ -43,17 +43,17 @@
       .Write();
 }
 
-const char* AnswerName(OrderAnswer aAnswer) {
+const char* AnswerName(OrderOutcome aAnswer) {
   switch (aAnswer) {
-    case OrderAnswer::Started:
+    case OrderOutcome::Started:
       return "started";
-    case OrderAnswer::AlreadyDone:
+    case OrderOutcome::AlreadyDone:
       return "already-done";
-    case OrderAnswer::Conflict:
+    case OrderOutcome::Conflict:
       return "conflict";
-    case OrderAnswer::Fenced:
+    case OrderOutcome::Fenced:
       return "fenced";
-    case OrderAnswer::Rejected:
+    case OrderOutcome::Rejected:
       return "rejected";
   }
   return "unknown";
@@ -71,7 +71,8 @@
                            ReplicaControl& aControl)
     : mNode(aNode), mLead(aLead), mControl(aControl) {}
 
-void WeightOrders::Name(const std::string& aModel, int64_t aVersion) {
+void WeightOrders::SetTargetVersion(const std::string& aModel,
+                                    int64_t aVersion) {
   int64_t& named = mNamed[aModel];
   if (aVersion <= named) {
     return;
@@ -84,7 +85,7 @@
       .Write();
 }
 
-int64_t WeightOrders::Named(const std::string& aModel) const {
+int64_t WeightOrders::TargetVersion(const std::string& aModel) const {
   const auto found = mNamed.find(aModel);
   return found == mNamed.end() ? 0 : found->second;
 }
@@ -152,7 +153,7 @@
     const ServiceSpec& aService) const {
   std::vector<LoadTarget> targets;
   for (const std::string& model : aService.mModels) {
-    const int64_t version = Named(model);
+    const int64_t version = TargetVersion(model);
     if (version == 0) {
       continue;
     }
@@ -201,8 +202,8 @@
 }
 
 void WeightOrders::Observe(const RolloutSpec& aSpec, double aWork) {
-  if (Named(aSpec.mModel) > 0) {
-    mLags[aSpec.mModel].Observe(Named(aSpec.mModel), aSpec.mMinVersion);
+  if (TargetVersion(aSpec.mModel) > 0) {
+    mLags[aSpec.mModel].Observe(TargetVersion(aSpec.mModel), aSpec.mMinVersion);
   }
   int64_t& texts = mTexts[aSpec.mModel];
   texts = std::max(texts, static_cast<int64_t>(aSpec.mItems.size()));
@@ -247,12 +248,13 @@
   } else if (report && mLead.MayOrder()) {
     order.mExpected = report->mSequence;
     mNode.mReplicas.PauseModel(aReplica.mId, aModel, mNode.Now() + kFirstLook);
-    const Result<OrderAnswer> answer = co_await mControl.Order(aReplica, order);
+    const Result<OrderOutcome> answer =
+        co_await mControl.Order(aReplica, order);
     LogOrder(aReplica, order,
              answer ? AnswerName(*answer) : answer.error().Detail().c_str());
     mNode.mMetrics.Count("orders_total");
-    started = !answer || *answer == OrderAnswer::Started;
-    if (answer && *answer == OrderAnswer::AlreadyDone) {
+    started = !answer || *answer == OrderOutcome::Started;
+    if (answer && *answer == OrderOutcome::AlreadyDone) {
       mNode.mReplicas.Learn(aReplica.mId, aModel, aVersion);
     }
   }
