--- a/src/include/rillwall/dispatcher.h
+++ b/src/include/rillwall/dispatcher.h
@@ -43,12 +43,12 @@
   bool mRetry = false;              ///< a repeat; drawn from the retry budget
 };
 
-enum class CallVerdict { Start, Refuse, Preempt };
+enum class CallAction { Start, Refuse, Preempt };
 
 /// What to do with a ticket.
 struct CallDecision {
   uint64_t mTicket = 0;
-  CallVerdict mVerdict = CallVerdict::Start;
+  CallAction mAction = CallAction::Start;
   std::string mUpstream;                      ///< id, for Start
   ErrorKind mReason = ErrorKind::Overloaded;  ///< for Refuse
   Millis mRetryAfter;                         ///< for Refuse: when to come back
@@ -98,7 +98,7 @@
   std::vector<CallDecision> Tick(Millis aNow);
 
   /// Free slots that training could take now, for choosing among runners.
-  int64_t TrainingRoom(std::string_view aModel) const;
+  int64_t FreeTrainingSlots(std::string_view aModel) const;
   /// State as JSON text for the dump.
   std::string Dump() const;
 
--- a/src/include/rillwall/membership.h
+++ b/src/include/rillwall/membership.h
@@ -64,18 +64,18 @@
 };
 
 /// A datagram to send.
-struct GossipSend {
+struct GossipDatagram {
   std::string mTo;  ///< "ip:port"
   GossipMessage mMessage;
 };
 
 /// What one step asks its owner to do and tells it.
 struct GossipActions {
-  std::vector<GossipSend> mSends;
+  std::vector<GossipDatagram> mDatagrams;
   /// Members that joined or changed state. This node itself is among them when
   /// it learns that it was taken for dead, so that its duties went to others.
-  std::vector<Member> mChanged;
-  std::vector<Fact> mNewFacts;  ///< facts with a new revision
+  std::vector<Member> mChangedMembers;
+  std::vector<Fact> mUpdatedFacts;  ///< facts with a new revision
 };
 
 /// Everything a node knows, for a full exchange.
@@ -129,7 +129,7 @@
   std::vector<Member> All() const;
   const Fact* FindFact(std::string_view aKey) const;
   /// \return facts whose key starts with aPrefix, ordered by key
-  std::vector<Fact> FactsUnder(std::string_view aPrefix) const;
+  std::vector<Fact> FactsWithPrefix(std::string_view aPrefix) const;
 
  private:
   struct Impl;
--- a/src/include/rillwall/node_life.h
+++ b/src/include/rillwall/node_lifecycle.h
@@ -19,13 +19,13 @@
 /// \return the phase's name, lower case
 const char* NodePhaseName(NodePhase aPhase);
 
-class NodeLife {
+class NodeLifecycle {
  public:
   /// \param aConfirmWithin how long a confirmation holds
-  explicit NodeLife(Millis aConfirmWithin);
-  ~NodeLife();
+  explicit NodeLifecycle(Millis aConfirmWithin);
+  ~NodeLifecycle();
   /// Somebody confirmed the policy revision that this node has.
-  void Confirmed(Millis aNow);
+  void PolicyConfirmed(Millis aNow);
   /// Moves to isolated when the last confirmation is too old.
   void Tick(Millis aNow);
   void Drain();
--- a/src/librillwall_coordination/dispatcher.cpp
+++ b/src/librillwall_coordination/dispatcher.cpp
@@ -213,7 +213,7 @@
 
 CallDecisions Dispatcher::Tick(Millis aNow) { return mImpl->Tick(aNow); }
 
-int64_t Dispatcher::TrainingRoom(std::string_view aModel) const {
+int64_t Dispatcher::FreeTrainingSlots(std::string_view aModel) const {
   const auto found = mImpl->mModels.find(std::string(aModel));
   if (found == mImpl->mModels.end()) {
     return 0;
@@ -221,7 +221,7 @@
   const ModelQueue& model = *found->second;
   const auto queued =
       static_cast<int64_t>(model.mTraining.Size() + model.mInteractive.Size());
-  const int64_t room = model.mPool.TrainingRoom(mImpl->mNow);
+  const int64_t room = model.mPool.FreeTrainingSlots(mImpl->mNow);
   return std::max<int64_t>(room - queued, 0);
 }
 
--- a/src/librillwall_coordination/dispatcher_fakes.h
+++ b/src/librillwall_coordination/dispatcher_fakes.h
@@ -246,15 +246,15 @@
     for (size_t node = 0; node < mNodes.size(); ++node) {
       std::exponential_distribution<double> tokens(1 /
                                                    mScenario.mTrainingTokens);
-      for (int64_t room = TrainingRoom(node); room > 0; --room) {
+      for (int64_t room = FreeTrainingSlots(node); room > 0; --room) {
         Open(node, CallClass::Training, 1 + tokens(mRandom));
       }
     }
   }
 
-  int64_t TrainingRoom(size_t aNode) const {
+  int64_t FreeTrainingSlots(size_t aNode) const {
     if (mScenario.mRouting == Routing::Product) {
-      return mNodes[aNode]->TrainingRoom(kModel);
+      return mNodes[aNode]->FreeTrainingSlots(kModel);
     }
     // Without reports: each node its part of 85 % of the slots.
     const auto slots = static_cast<double>(mEngines.size()) * 16;
@@ -309,14 +309,14 @@
 
   void Carry(size_t aNode, const std::vector<CallDecision>& aDecisions) {
     for (const CallDecision& decision : aDecisions) {
-      switch (decision.mVerdict) {
-        case CallVerdict::Start:
+      switch (decision.mAction) {
+        case CallAction::Start:
           Start(decision.mTicket, mByName.at(decision.mUpstream));
           break;
-        case CallVerdict::Refuse:
+        case CallAction::Refuse:
           Refused(decision.mTicket);
           break;
-        case CallVerdict::Preempt:
+        case CallAction::Preempt:
           Preempt(aNode, decision.mTicket);
           break;
       }
--- a/src/librillwall_coordination/dispatcher_preempt.cpp
+++ b/src/librillwall_coordination/dispatcher_preempt.cpp
@@ -15,7 +15,7 @@
 void Dispatcher::Impl::Recall(const DispatchedCall& aCall,
                               CallDecisions& aOut) {
   aOut.push_back(CallDecision{.mTicket = aCall.mSpec.mTicket,
-                              .mVerdict = CallVerdict::Preempt,
+                              .mAction = CallAction::Preempt,
                               .mUpstream = aCall.mEngine->Info().mId});
 }
 
@@ -73,7 +73,7 @@
   if (!mTuning.mMoveTraining) {
     return;
   }
-  int64_t room = aModel.mPool.TrainingRoom(aNow) -
+  int64_t room = aModel.mPool.FreeTrainingSlots(aNow) -
                  static_cast<int64_t>(aModel.mTraining.Size()) -
                  static_cast<int64_t>(aModel.mInteractive.Size());
   for (const uint64_t ticket : aModel.mTrainingCalls) {
--- a/src/librillwall_coordination/dispatcher_queue.cpp
+++ b/src/librillwall_coordination/dispatcher_queue.cpp
@@ -26,7 +26,7 @@
                               Millis aRetryAfter, CallDecisions& aOut) {
   ++mCounts.mRefused;
   aOut.push_back(CallDecision{.mTicket = aTicket,
-                              .mVerdict = CallVerdict::Refuse,
+                              .mAction = CallAction::Refuse,
                               .mReason = aReason,
                               .mRetryAfter = Jitter(aRetryAfter)});
 }
@@ -215,7 +215,7 @@
   }
   ++mCounts.mStarted;
   aOut.push_back(CallDecision{.mTicket = aTicket,
-                              .mVerdict = CallVerdict::Start,
+                              .mAction = CallAction::Start,
                               .mUpstream = aEngine.Info().mId});
 }
 
--- a/src/librillwall_coordination/dispatcher_random_test.cpp
+++ b/src/librillwall_coordination/dispatcher_random_test.cpp
@@ -186,7 +186,7 @@
   void Take(const std::vector<CallDecision>& aDecisions) {
     for (const CallDecision& decision : aDecisions) {
       mTrace += std::to_string(decision.mTicket) + decision.mUpstream + " ";
-      if (decision.mVerdict == CallVerdict::Preempt) {
+      if (decision.mAction == CallAction::Preempt) {
         Running& call = mRunning.at(decision.mTicket);
         CPPUNIT_ASSERT(call.mSpec.mClass == CallClass::Training);
         CPPUNIT_ASSERT(!call.mRecalled);
@@ -196,7 +196,7 @@
       // Throws for a call decided before, withdrawn or never submitted.
       const Waiting call = mWaiting.at(decision.mTicket);
       mWaiting.erase(decision.mTicket);
-      if (decision.mVerdict == CallVerdict::Refuse) {
+      if (decision.mAction == CallAction::Refuse) {
         CPPUNIT_ASSERT(decision.mRetryAfter > Millis(0));
         continue;
       }
--- a/src/librillwall_coordination/dispatcher_test.cpp
+++ b/src/librillwall_coordination/dispatcher_test.cpp
@@ -65,7 +65,7 @@
     int started = 0;
     for (int call = 0; call < aCalls; ++call) {
       const auto out = mDispatcher->Submit(Call(aFirst + call, aClass), mNow);
-      started += !out.empty() && out[0].mVerdict == CallVerdict::Start;
+      started += !out.empty() && out[0].mAction == CallAction::Start;
     }
     return started;
   }
@@ -82,7 +82,7 @@
         mDispatcher->Progress(aFirst + call, 10, mNow);
       }
       mDispatcher->Report(aEngine, Slots(aSlots, mNow, started));
-      int64_t room = mDispatcher->TrainingRoom(kModel);
+      int64_t room = mDispatcher->FreeTrainingSlots(kModel);
       for (; room > 0; --room) {
         CPPUNIT_ASSERT_EQUAL(1, Fill(CallClass::Training, 1, aFirst + started));
         ++started;
@@ -131,13 +131,13 @@
     auto out = mDispatcher->Tick(mNow);
     // One for the one that waits, and only once; the youngest.
     CPPUNIT_ASSERT_EQUAL(size_t{1}, out.size());
-    CPPUNIT_ASSERT(out[0].mVerdict == CallVerdict::Preempt);
+    CPPUNIT_ASSERT(out[0].mAction == CallAction::Preempt);
     CPPUNIT_ASSERT_EQUAL(static_cast<uint64_t>(training), out[0].mTicket);
     CPPUNIT_ASSERT(mDispatcher->Tick(mNow).empty());
     out = mDispatcher->Finish(out[0].mTicket, CallOutcome::Cancelled, mNow);
     CPPUNIT_ASSERT_EQUAL(uint64_t{99} + static_cast<uint64_t>(interactive),
                          out.at(0).mTicket);
-    CPPUNIT_ASSERT(out[0].mVerdict == CallVerdict::Start);
+    CPPUNIT_ASSERT(out[0].mAction == CallAction::Start);
   }
 
   void LeavingGetsNothingNew() {
@@ -160,7 +160,7 @@
     mDispatcher->MarkLeaving("e1", mNow);
     const auto out = mDispatcher->Submit(Call(1), mNow);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, out.size());
-    CPPUNIT_ASSERT(out[0].mVerdict == CallVerdict::Refuse);
+    CPPUNIT_ASSERT(out[0].mAction == CallAction::Refuse);
     CPPUNIT_ASSERT(out[0].mReason == ErrorKind::Unavailable);
     CPPUNIT_ASSERT(out[0].mRetryAfter > Millis(0));
     Configure({Engine("e1"), Engine("e2", "b")}, 4);
@@ -212,7 +212,7 @@
     const auto out = mDispatcher->Submit(Call(4), mNow);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, out.size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, out[0].mTicket);
-    CPPUNIT_ASSERT(out[0].mVerdict == CallVerdict::Refuse);
+    CPPUNIT_ASSERT(out[0].mAction == CallAction::Refuse);
   }
 
   void ChargesWhatWasServed() {
--- a/src/librillwall_coordination/engine_state.cpp
+++ b/src/librillwall_coordination/engine_state.cpp
@@ -31,14 +31,15 @@
 
 SlotShare InteractiveShare(const DispatchTuning& aTuning) {
   return {{.mGain = aTuning.mInteractiveGain,
-           .mEmpty = aTuning.mInteractiveEmpty,
-           .mBack = aTuning.mInteractiveBack,
+           .mEmptyFraction = aTuning.mInteractiveEmpty,
+           .mRebalance = aTuning.mInteractiveBack,
            .mAtLeastOne = true},
           kFirstInteractiveShare};
 }
 
 SlotShare TrainingShare(const DispatchTuning& aTuning) {
-  return {{.mGain = aTuning.mTrainingGain, .mEmpty = aTuning.mTrainingEmpty},
+  return {{.mGain = aTuning.mTrainingGain,
+           .mEmptyFraction = aTuning.mTrainingEmpty},
           kFirstTrainingShare};
 }
 }  // namespace
--- a/src/librillwall_coordination/limiter_test.cpp
+++ b/src/librillwall_coordination/limiter_test.cpp
@@ -70,7 +70,9 @@
     std::uniform_real_distribution<double> draw(0, 1);
     mOwn.resize(aNodes, 0);
     std::vector<SlotShare> shares(
-        aNodes, SlotShare({.mGain = 0.5, .mEmpty = 0.1, .mBack = aBack}, 0));
+        aNodes,
+        SlotShare({.mGain = 0.5, .mEmptyFraction = 0.1, .mRebalance = aBack},
+                  0));
     std::vector<int64_t> loads = {
         std::accumulate(mOwn.begin(), mOwn.end(), int64_t{0})};
     for (int round = 0; round < aRounds; ++round) {
--- a/src/librillwall_coordination/membership.cpp
+++ b/src/librillwall_coordination/membership.cpp
@@ -49,11 +49,11 @@
 void Membership::Impl::Send(const GossipHead& aHead,
                             const std::vector<NewsKey>& aFirst,
                             GossipActions& aActions) {
-  aActions.mSends.push_back(mComposer.Compose(aHead, aFirst));
+  aActions.mDatagrams.push_back(mComposer.Compose(aHead, aFirst));
 }
 
 void Membership::Impl::Send(const ProbeStep& aStep, GossipActions& aActions) {
-  for (const GossipHead& head : aStep.mSends) {
+  for (const GossipHead& head : aStep.mDatagrams) {
     const bool isPing = head.mKind == GossipKind::Ping;
     const auto first = isPing ? PingNews(head.mTarget) : std::vector<NewsKey>();
     Send(head, first, aActions);
@@ -99,7 +99,8 @@
     return;
   }
   ProbeStep step;
-  step.mSends.push_back({GossipKind::Ping, seed, "", mProber.NextSequence()});
+  step.mDatagrams.push_back(
+      {GossipKind::Ping, seed, "", mProber.NextSequence()});
   Send(step, aActions);
 }
 
@@ -110,7 +111,7 @@
   mNextRevive = aNow + kRevivePeriod;
   ProbeStep step;
   for (const Member& dead : mTable.Sample(1, mRandom, &MemberEntry::IsDead)) {
-    step.mSends.push_back(
+    step.mDatagrams.push_back(
         {GossipKind::Ping, dead.mGossip, dead.mId, mProber.NextSequence()});
   }
   Send(step, aActions);
@@ -175,7 +176,7 @@
                                 Millis aNow, GossipActions& aActions) {
   const Member& record = mTable.Conclude(aId, aState, aNow);
   mComposer.Add(record);
-  aActions.mChanged.push_back(record);
+  aActions.mChangedMembers.push_back(record);
 }
 
 // The interface.
@@ -256,7 +257,7 @@
   }
   mImpl->mTable.SetSelf(self.mIncarnation, MemberState::Leaving);
   mImpl->mComposer.Add(self);
-  actions.mChanged.push_back(self);
+  actions.mChangedMembers.push_back(self);
   mImpl->mNextSpread = aNow;
   mImpl->Spread(aNow, actions);
   return actions;
@@ -278,7 +279,7 @@
   return mImpl->mFacts.Find(aKey);
 }
 
-std::vector<Fact> Membership::FactsUnder(std::string_view aPrefix) const {
+std::vector<Fact> Membership::FactsWithPrefix(std::string_view aPrefix) const {
   return mImpl->mFacts.Under(aPrefix);
 }
 
--- a/src/librillwall_coordination/membership_bench.cpp
+++ b/src/librillwall_coordination/membership_bench.cpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "membership_news.h"
 #include "membership_test_network.h"
+#include "membership_updates.h"
 
 namespace rillwall {
 
@@ -62,7 +62,7 @@
   }
   void Tick() {
     mNow += TestNetwork::kTick;
-    for (const GossipSend& send : mMembership.Tick(mNow).mSends) {
+    for (const GossipDatagram& send : mMembership.Tick(mNow).mDatagrams) {
       if (send.mMessage.mKind == GossipKind::Ping) {
         const GossipMessage ack{GossipKind::Ack, send.mMessage.mTarget,
                                 send.mMessage.mTarget, send.mMessage.mSequence};
@@ -136,7 +136,7 @@
   size_t seconds = 0;
   size_t facts = 0;
   net.Watch([&](size_t, const GossipActions& aActions) {
-    for (const GossipSend& send : aActions.mSends) {
+    for (const GossipDatagram& send : aActions.mDatagrams) {
       bytes += EstimateBytes(send.mMessage);
     }
   });
--- a/src/librillwall_coordination/membership_composer.cpp
+++ b/src/librillwall_coordination/membership_composer.cpp
@@ -38,9 +38,9 @@
   }
 }
 
-GossipSend GossipComposer::Compose(const GossipHead& aHead,
-                                   const std::vector<NewsKey>& aFirst) {
-  GossipSend send;
+GossipDatagram GossipComposer::Compose(const GossipHead& aHead,
+                                       const std::vector<NewsKey>& aFirst) {
+  GossipDatagram send;
   send.mTo = aHead.mTo;
   send.mMessage.mKind = aHead.mKind;
   send.mMessage.mFrom = mTable.Self().mId;
--- a/src/librillwall_coordination/membership_composer.h
+++ b/src/librillwall_coordination/membership_composer.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "fact_table.h"
-#include "membership_news.h"
 #include "membership_table.h"
+#include "membership_updates.h"
 #include "rillwall/membership.h"
 
 namespace rillwall {
@@ -35,8 +35,8 @@
   void Add(const Member& aMember);
   void Add(const Fact& aFact);
   /// \param aFirst what comes before the news waiting
-  GossipSend Compose(const GossipHead& aHead,
-                     const std::vector<NewsKey>& aFirst);
+  GossipDatagram Compose(const GossipHead& aHead,
+                         const std::vector<NewsKey>& aFirst);
   bool HasNews() const { return !mNews.IsEmpty(); }
   /// \return datagrams that the news waiting would fill
   size_t Backlog() const { return mNews.Bytes() / mMaxNewsBytes; }
--- a/src/librillwall_coordination/membership_parts_test.cpp
+++ b/src/librillwall_coordination/membership_parts_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 
 #include "fact_table.h"
-#include "membership_news.h"
+#include "membership_updates.h"
 
 namespace rillwall {
 
--- a/src/librillwall_coordination/membership_probe.cpp
+++ b/src/librillwall_coordination/membership_probe.cpp
@@ -95,7 +95,7 @@
   probe.mIndirectAt = aNow + mLimits.mProbeTimeout * mHealth.Factor();
   probe.mFailsAt = aNow + period;
   mOutstanding = probe;
-  aStep.mSends.push_back(
+  aStep.mDatagrams.push_back(
       {GossipKind::Ping, target->mGossip, target->mId, probe.mSequence});
 }
 
@@ -109,8 +109,8 @@
       });
   probe.mNacksMissing = static_cast<int>(relays.size());
   for (const Member& relay : relays) {
-    aStep.mSends.push_back({GossipKind::PingRequest, relay.mGossip,
-                            probe.mTarget, probe.mSequence});
+    aStep.mDatagrams.push_back({GossipKind::PingRequest, relay.mGossip,
+                                probe.mTarget, probe.mSequence});
   }
 }
 
@@ -129,8 +129,8 @@
     if (aNow < relay.mFailsAt) {
       return false;
     }
-    aStep.mSends.push_back({GossipKind::Nack, relay.mOrigin, relay.mTarget,
-                            relay.mOriginSequence});
+    aStep.mDatagrams.push_back({GossipKind::Nack, relay.mOrigin, relay.mTarget,
+                                relay.mOriginSequence});
     return true;
   });
 }
@@ -140,14 +140,14 @@
   ProbeStep step;
   const MemberEntry* target = aTable.Find(aMessage.mTarget);
   if (target == nullptr || mRelays.size() >= kMaxRelays) {
-    step.mSends.push_back({GossipKind::Nack, std::string(aFrom),
-                           aMessage.mTarget, aMessage.mSequence});
+    step.mDatagrams.push_back({GossipKind::Nack, std::string(aFrom),
+                               aMessage.mTarget, aMessage.mSequence});
     return step;
   }
   const uint64_t sequence = NextSequence();
   mRelays[sequence] = {aMessage.mTarget, std::string(aFrom), aMessage.mSequence,
                        aNow + mLimits.mProbeTimeout};
-  step.mSends.push_back(
+  step.mDatagrams.push_back(
       {GossipKind::Ping, target->mMember.mGossip, aMessage.mTarget, sequence});
   return step;
 }
@@ -162,8 +162,9 @@
   }
   const auto relay = mRelays.find(aMessage.mSequence);
   if (relay != mRelays.end() && relay->second.mTarget == aMessage.mTarget) {
-    step.mSends.push_back({GossipKind::Ack, relay->second.mOrigin,
-                           aMessage.mTarget, relay->second.mOriginSequence});
+    step.mDatagrams.push_back({GossipKind::Ack, relay->second.mOrigin,
+                               aMessage.mTarget,
+                               relay->second.mOriginSequence});
     mRelays.erase(relay);
   }
   return step;
--- a/src/librillwall_coordination/membership_probe.h
+++ b/src/librillwall_coordination/membership_probe.h
@@ -45,7 +45,7 @@
 
 /// What a step of the detector gives.
 struct ProbeStep {
-  std::vector<GossipHead> mSends;
+  std::vector<GossipHead> mDatagrams;
   std::string mFailed;  ///< id of a member that answered nobody; or empty
 };
 
--- a/src/librillwall_coordination/membership_receive.cpp
+++ b/src/librillwall_coordination/membership_receive.cpp
@@ -120,7 +120,7 @@
     mProber.AddMember(record.mId, mRandom);
   }
   if (verdict == MemberVerdict::Changed) {
-    aActions.mChanged.push_back(record);
+    aActions.mChangedMembers.push_back(record);
   }
   if (aSource == Source::Datagram || !IsNewcomer(aNow)) {
     mComposer.Add(record);
@@ -142,7 +142,7 @@
   mComposer.Add(self);
   mNextSpread = Millis();
   if (aRecord.mState == MemberState::Dead) {
-    aActions.mChanged.push_back(self);  // its duties went to others
+    aActions.mChangedMembers.push_back(self);  // its duties went to others
   }
 }
 
@@ -155,7 +155,7 @@
   if (verdict != FactVerdict::Newer) {
     return;
   }
-  aActions.mNewFacts.push_back(aFact);
+  aActions.mUpdatedFacts.push_back(aFact);
   if (aPassOn) {
     mComposer.Add(aFact);
   }
--- a/src/librillwall_coordination/membership_step_test.cpp
+++ b/src/librillwall_coordination/membership_step_test.cpp
@@ -32,8 +32,8 @@
   }
   static bool Has(const GossipActions& aActions, const std::string& aTo,
                   const Member& aMember) {
-    return std::any_of(aActions.mSends.begin(), aActions.mSends.end(),
-                       [&](const GossipSend& aSend) {
+    return std::any_of(aActions.mDatagrams.begin(), aActions.mDatagrams.end(),
+                       [&](const GossipDatagram& aSend) {
                          const auto& members = aSend.mMessage.mMembers;
                          return (aTo.empty() || aSend.mTo == aTo) &&
                                 std::find(members.begin(), members.end(),
@@ -55,13 +55,14 @@
     const Millis start = mNow;
     TickUntil([&](const GossipActions& aActions) {
       found = aActions;
-      return mNow - start >= Millis(1500) && !aActions.mSends.empty() &&
-             aActions.mSends[0].mMessage.mKind == GossipKind::Ping;
+      return mNow - start >= Millis(1500) && !aActions.mDatagrams.empty() &&
+             aActions.mDatagrams[0].mMessage.mKind == GossipKind::Ping;
     });
     return found;
   }
   static bool TellsOfDeath(const GossipActions& aActions) {
-    return std::any_of(aActions.mChanged.begin(), aActions.mChanged.end(),
+    return std::any_of(aActions.mChangedMembers.begin(),
+                       aActions.mChangedMembers.end(),
                        [](const Member& aMember) {
                          return aMember.mState == MemberState::Dead;
                        });
@@ -93,7 +94,7 @@
       mSelf.Receive(News(Node(id, 1, MemberState::Suspect)), "peer", mNow);
     }
     const GossipActions ping = FirstPingWithoutNews();
-    const std::string target = ping.mSends[0].mTo;
+    const std::string target = ping.mDatagrams[0].mTo;
     CPPUNIT_ASSERT(Has(ping, target, Node(target, 1, MemberState::Suspect)));
   }
 
--- a/src/librillwall_coordination/membership_test.cpp
+++ b/src/librillwall_coordination/membership_test.cpp
@@ -5,8 +5,8 @@
 
 #include <numeric>
 
-#include "membership_news.h"
 #include "membership_test_network.h"
+#include "membership_updates.h"
 
 namespace rillwall {
 
@@ -106,7 +106,7 @@
     net.Run(Millis(150000));
     size_t told = 0;
     net.Watch([&](size_t aNode, const GossipActions& aActions) {
-      for (const Member& member : aActions.mChanged) {
+      for (const Member& member : aActions.mChangedMembers) {
         told += aNode != 5 && member.mId == TestNetwork::Id(4) ? 1 : 0;
       }
     });
@@ -182,7 +182,7 @@
     TestNetwork net = Joined(9, 11);
     size_t largest = 0;
     net.Watch([&](size_t, const GossipActions& aActions) {
-      for (const GossipSend& send : aActions.mSends) {
+      for (const GossipDatagram& send : aActions.mDatagrams) {
         largest = std::max(largest, NewsBytes(send.mMessage));
       }
     });
@@ -191,7 +191,8 @@
       net.Carry(0, net.At(0).SetFact({key, fact, "leaving"}, net.Now()));
     }
     net.Run(Millis(10000));
-    CPPUNIT_ASSERT_EQUAL(size_t{100}, net.At(8).FactsUnder("leaving/").size());
+    CPPUNIT_ASSERT_EQUAL(size_t{100},
+                         net.At(8).FactsWithPrefix("leaving/").size());
     CPPUNIT_ASSERT(largest > GossipLimits{}.mMaxNewsBytes / 2);
     CPPUNIT_ASSERT(largest <= GossipLimits{}.mMaxNewsBytes);
   }
--- a/src/librillwall_coordination/membership_test_network.h
+++ b/src/librillwall_coordination/membership_test_network.h
@@ -68,13 +68,13 @@
     if (mWatcher) {
       mWatcher(aFrom, aActions);
     }
-    for (const Member& member : aActions.mChanged) {
+    for (const Member& member : aActions.mChangedMembers) {
       const size_t index = IndexOf(member.mId);
       const bool isFalse =
           !mNodes[index].mCrashed && member.mState == MemberState::Dead;
       mFalseDeaths += isFalse ? 1 : 0;
     }
-    for (const GossipSend& send : aActions.mSends) {
+    for (const GossipDatagram& send : aActions.mDatagrams) {
       const size_t to =
           std::stoul(send.mTo.substr(send.mTo.find(':') + 1)) - kFirstPort;
       const bool isLost = std::bernoulli_distribution(mLoss)(mRandom);
--- a/src/librillwall_coordination/membership_news.cpp
+++ b/src/librillwall_coordination/membership_updates.cpp
@@ -1,4 +1,4 @@
-#include "membership_news.h"
+#include "membership_updates.h"
 
 #include <bit>
 
--- a/src/librillwall_coordination/node_life.cpp
+++ b/src/librillwall_coordination/node_lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "rillwall/node_life.h"
+#include "rillwall/node_lifecycle.h"
 
 #include <array>
 #include <boost/msm/back/state_machine.hpp>
@@ -59,34 +59,35 @@
   return kNames[static_cast<size_t>(aPhase)];
 }
 
-struct NodeLife::Impl {
+struct NodeLifecycle::Impl {
   Machine mMachine;
   Millis mConfirmWithin;
   Millis mConfirmedAt;
 };
 
-NodeLife::NodeLife(Millis aConfirmWithin) : mImpl(std::make_unique<Impl>()) {
+NodeLifecycle::NodeLifecycle(Millis aConfirmWithin)
+    : mImpl(std::make_unique<Impl>()) {
   mImpl->mConfirmWithin = aConfirmWithin;
   mImpl->mMachine.start();
 }
 
-NodeLife::~NodeLife() = default;
+NodeLifecycle::~NodeLifecycle() = default;
 
-void NodeLife::Confirmed(Millis aNow) {
+void NodeLifecycle::PolicyConfirmed(Millis aNow) {
   mImpl->mConfirmedAt = aNow;
   mImpl->mMachine.process_event(Confirm{});
 }
 
-void NodeLife::Tick(Millis aNow) {
+void NodeLifecycle::Tick(Millis aNow) {
   if (aNow - mImpl->mConfirmedAt > mImpl->mConfirmWithin) {
     mImpl->mMachine.process_event(Expire{});
   }
 }
 
-void NodeLife::Drain() { mImpl->mMachine.process_event(BeginDrain{}); }
-void NodeLife::Drained() { mImpl->mMachine.process_event(EndDrain{}); }
+void NodeLifecycle::Drain() { mImpl->mMachine.process_event(BeginDrain{}); }
+void NodeLifecycle::Drained() { mImpl->mMachine.process_event(EndDrain{}); }
 
-NodePhase NodeLife::Phase() const {
+NodePhase NodeLifecycle::Phase() const {
   const int state = mImpl->mMachine.current_state()[0];
   if (state == kStateId<LifeDef::Ready>) {
     return NodePhase::Ready;
--- a/src/librillwall_coordination/node_life_test.cpp
+++ b/src/librillwall_coordination/node_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-#include "rillwall/node_life.h"
+#include "rillwall/node_lifecycle.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -15,30 +15,30 @@
 
  public:
   void TestReadyOnlyWhenConfirmed() {
-    NodeLife life(kWithin);
+    NodeLifecycle life(kWithin);
     life.Tick(Millis(5000));
     CPPUNIT_ASSERT(life.Phase() == NodePhase::Starting);
-    life.Confirmed(Millis(5000));
+    life.PolicyConfirmed(Millis(5000));
     CPPUNIT_ASSERT(life.Phase() == NodePhase::Ready);
   }
 
   void TestIsolatedAndBack() {
-    NodeLife life(kWithin);
-    life.Confirmed(Millis(0));
+    NodeLifecycle life(kWithin);
+    life.PolicyConfirmed(Millis(0));
     life.Tick(kWithin);
     CPPUNIT_ASSERT(life.Phase() == NodePhase::Ready);
     life.Tick(kWithin + Millis(1));
     CPPUNIT_ASSERT(life.Phase() == NodePhase::Isolated);
-    life.Confirmed(Millis(2000));
+    life.PolicyConfirmed(Millis(2000));
     CPPUNIT_ASSERT(life.Phase() == NodePhase::Ready);
   }
 
   void TestDrainIsFinal() {
-    NodeLife life(kWithin);
+    NodeLifecycle life(kWithin);
     life.Drained();
     CPPUNIT_ASSERT(life.Phase() == NodePhase::Starting);
     life.Drain();
-    life.Confirmed(Millis(0));
+    life.PolicyConfirmed(Millis(0));
     life.Tick(Millis(5000));
     CPPUNIT_ASSERT(life.Phase() == NodePhase::Draining);
     life.Drained();
--- a/src/librillwall_coordination/router.cpp
+++ b/src/librillwall_coordination/router.cpp
@@ -298,7 +298,7 @@
   return next;
 }
 
-int64_t EnginePool::TrainingRoom(Millis aNow) const {
+int64_t EnginePool::FreeTrainingSlots(Millis aNow) const {
   int64_t room = 0;
   for (const EngineState* engine : mEngines) {
     room += engine->Room(CallClass::Training, mPrior, aNow);
--- a/src/librillwall_coordination/router.h
+++ b/src/librillwall_coordination/router.h
@@ -70,7 +70,7 @@
   /// \return the instant when the first open breaker lets a probe through
   Millis NextProbe(Millis aNow) const;
   /// \return free slots for training calls
-  int64_t TrainingRoom(Millis aNow) const;
+  int64_t FreeTrainingSlots(Millis aNow) const;
   /// \return load of others to expect of an engine without a fresh report
   double Prior() const { return mPrior; }
 
--- a/src/librillwall_coordination/slot_share.cpp
+++ b/src/librillwall_coordination/slot_share.cpp
@@ -28,7 +28,7 @@
   const double target = std::max(aReport.mTarget, 1.0);
   const double free = target - aReport.mTotal;
   const double own = aReport.mOwn / std::max(aReport.mTotal, 1.0);
-  const double empty = mGain.mEmpty * mBoost * free / target;
+  const double empty = mGain.mEmptyFraction * mBoost * free / target;
   const double share = std::clamp(std::max(own, empty), 0.0, 1.0);
   double more = mGain.mGain * share * free;
   if (mGain.mAtLeastOne && free >= target * kHalf) {
@@ -36,7 +36,7 @@
   }
   // A holder of a larger part gives up more of it, so that parts even out.
   const double part = std::clamp(own, 0.0, 1.0);
-  const double back = mGain.mBack * part * (1 - part) * aReport.mOwn;
+  const double back = mGain.mRebalance * part * (1 - part) * aReport.mOwn;
   const double allowed = std::max(aReport.mOwn + more - back, 0.0);
   // Rounded at random, so that nodes do not all take the same last slot.
   mAllowed = static_cast<int64_t>(std::floor(allowed + aReport.mRandom));
--- a/src/librillwall_coordination/slot_share.h
+++ b/src/librillwall_coordination/slot_share.h
@@ -25,9 +25,9 @@
 
 /// How boldly free slots are taken.
 struct SlotShareGain {
-  double mGain = 1;          ///< part of the gap to close by one report
-  double mEmpty = 0.5;       ///< part of an empty engine's slots to take
-  double mBack = 0;          ///< part of the own calls given back, see Report()
+  double mGain = 1;             ///< part of the gap to close by one report
+  double mEmptyFraction = 0.5;  ///< part of an empty engine's slots to take
+  double mRebalance = 0;     ///< part of the own calls given back, see Report()
   bool mAtLeastOne = false;  ///< of an engine that is half empty
 };
 
--- a/src/rillwall/admin_api.cpp
+++ b/src/rillwall/admin_api.cpp
@@ -299,7 +299,7 @@
 AdminApi::Answer AdminApi::DrainState() {
   json::object body = co_await mNode.OnControl([this] {
     json::object state;
-    state["phase"] = NodePhaseName(mNode.Life().Phase());
+    state["phase"] = NodePhaseName(mNode.Lifecycle().Phase());
     state["groups_held"] = mRunner.Held();
     state["groups_running"] = mRunner.Running();
     state["steps_owned"] = mSteps.OpenSteps();
@@ -313,7 +313,7 @@
   dump["schema"] = kDumpSchema;
   dump["node"] = mNode.Settings().mNodeId;
   dump["zone"] = mNode.Settings().mZone;
-  dump["phase"] = NodePhaseName(mNode.Life().Phase());
+  dump["phase"] = NodePhaseName(mNode.Lifecycle().Phase());
   dump["policy_revision"] = mPolicies.Document().mSet.Revision();
   dump["http_connections"] = mNode.Http().Connections();
   json::array& members = dump["members"].emplace_array();
@@ -321,7 +321,7 @@
     members.push_back(EncodeMember(member));
   }
   json::array& facts = dump["facts"].emplace_array();
-  for (const Fact& fact : mNode.Members().FactsUnder("")) {
+  for (const Fact& fact : mNode.Members().FactsWithPrefix("")) {
     facts.push_back(
         json::object{{"key", fact.mKey}, {"revision", fact.mRevision}});
   }
--- a/src/rillwall/gossip_loop.cpp
+++ b/src/rillwall/gossip_loop.cpp
@@ -119,17 +119,17 @@
 }
 
 void GossipLoop::CarryOut(GossipActions aActions) {
-  for (const GossipSend& send : aActions.mSends) {
+  for (const GossipDatagram& send : aActions.mDatagrams) {
     mSocket.Send(send.mTo, EncodeGossip(send.mMessage, mKey));
   }
-  for (const Member& member : aActions.mChanged) {
+  for (const Member& member : aActions.mChangedMembers) {
     Log(Part::Gossip)
         .Info("Node " + member.mId + " is " + StateName(member.mState) + ".");
     for (const MemberListener& listener : mMemberListeners) {
       listener(member);
     }
   }
-  for (const Fact& fact : aActions.mNewFacts) {
+  for (const Fact& fact : aActions.mUpdatedFacts) {
     for (const FactListener& listener : mFactListeners) {
       listener(fact);
     }
--- a/src/rillwall/group_runner.cpp
+++ b/src/rillwall/group_runner.cpp
@@ -315,7 +315,7 @@
 }
 
 int64_t GroupRunner::Room(const TrainerRule& aRule) const {
-  return mNode.Calls().TrainingRoom(aRule.mModel);
+  return mNode.Calls().FreeTrainingSlots(aRule.mModel);
 }
 
 size_t GroupRunner::Held() const { return mHeld.size(); }
--- a/src/rillwall/model_calls.cpp
+++ b/src/rillwall/model_calls.cpp
@@ -44,7 +44,7 @@
 
 void ModelCalls::Apply(std::vector<CallDecision> aDecisions) {
   for (CallDecision& decision : aDecisions) {
-    if (decision.mVerdict == CallVerdict::Preempt) {
+    if (decision.mAction == CallAction::Preempt) {
       const auto running = mPreempt.find(decision.mTicket);
       if (running != mPreempt.end()) {
         running->second->store(true, std::memory_order_relaxed);
@@ -92,7 +92,7 @@
     const CallDecision decision = co_await Admit(aRequest.mSpec);
     const bool wait = aRequest.mSpec.mClass == CallClass::Training &&
                       mNode.Now() < aRequest.mSpec.mDeadline;
-    if (decision.mVerdict == CallVerdict::Refuse && wait) {
+    if (decision.mAction == CallAction::Refuse && wait) {
       // Nobody waits for a single sample; what it has so far is kept. It comes
       // back as a first call: the retry budget grows with these only, and would
       // stay empty if every sample were a retry.
@@ -101,7 +101,7 @@
       co_await Node::Sleep(std::max(kRefusedPause, decision.mRetryAfter));
       continue;
     }
-    if (decision.mVerdict == CallVerdict::Refuse) {
+    if (decision.mAction == CallAction::Refuse) {
       co_return Error(decision.mReason, "No engine could take the call now.",
                       running.mRan)
           .After(decision.mRetryAfter);
--- a/src/rillwall/node.cpp
+++ b/src/rillwall/node.cpp
@@ -83,7 +83,7 @@
       mMembership(MakeSelf(mSettings), SeedTexts(mSettings), GossipLimits(),
                   SeedOf(mSettings)),
       mDispatcher(mSettings.mZone, DispatcherLimits(), SeedOf(mSettings)),
-      mLife(kConfirmWithin) {
+      mLifecycle(kConfirmWithin) {
   mPolicies.Publish(std::make_shared<const PolicySet>());
   mUpstreams.Publish(std::make_shared<const UpstreamTable>());
 }
@@ -91,7 +91,7 @@
 Node::~Node() = default;
 
 void Node::PublishPhase() {
-  const NodePhase phase = mLife.Phase();
+  const NodePhase phase = mLifecycle.Phase();
   mPhase.store(phase, std::memory_order_release);
   if (phase != NodePhase::Draining) {
     mTakesWork.store(phase == NodePhase::Ready, std::memory_order_release);
--- a/src/rillwall/node.h
+++ b/src/rillwall/node.h
@@ -25,7 +25,7 @@
 #include "rillwall/http.h"
 #include "rillwall/kv_port.h"
 #include "rillwall/membership.h"
-#include "rillwall/node_life.h"
+#include "rillwall/node_lifecycle.h"
 #include "rillwall/peer.h"
 #include "rillwall/policy.h"
 #include "rillwall/rcu.h"
@@ -63,7 +63,7 @@
   /// @{
   Membership& Members() { return mMembership; }
   Dispatcher& Calls() { return mDispatcher; }
-  NodeLife& Life() { return mLife; }
+  NodeLifecycle& Lifecycle() { return mLifecycle; }
   /// @}
 
   /// \return the phase as last seen by the control strand, from any thread
@@ -128,7 +128,7 @@
   RcuCell<UpstreamTable> mUpstreams;
   Membership mMembership;
   Dispatcher mDispatcher;
-  NodeLife mLife;
+  NodeLifecycle mLifecycle;
   std::atomic<NodePhase> mPhase{NodePhase::Starting};
   std::atomic<bool> mTakesWork{false};
   PeerHandler mPeerHandler;
--- a/src/rillwall/peer_service.cpp
+++ b/src/rillwall/peer_service.cpp
@@ -207,7 +207,7 @@
         wire::PeerReply reply;
         // A node that is leaving finishes what it has and starts nothing.
         const bool takes =
-            rule != nullptr && mNode.Life().Phase() != NodePhase::Draining;
+            rule != nullptr && mNode.Lifecycle().Phase() != NodePhase::Draining;
         reply.mutable_room()->set_samples(takes ? mRunner.Room(*rule) : 0);
         return reply;
       });
--- a/src/rillwall/policy_keeper.cpp
+++ b/src/rillwall/policy_keeper.cpp
@@ -287,7 +287,7 @@
     for (size_t i = 0; !confirmed && i < peers.size() && i < 3; ++i) {
       confirmed = co_await ConfirmWithPeer(peers[mRandom() % peers.size()]);
     }
-    mNode.Life().Tick(mNode.Now());
+    mNode.Lifecycle().Tick(mNode.Now());
     mNode.PublishPhase();
     co_await Node::Sleep(confirmed ? kConfirmPeriod : kStartPeriod);
   }
@@ -350,7 +350,7 @@
 
 void PolicyKeeper::Confirm() {
   mKnown = true;
-  mNode.Life().Confirmed(mNode.Now());
+  mNode.Lifecycle().PolicyConfirmed(mNode.Now());
   mNode.PublishPhase();
 }
 
--- a/src/rillwall/serve.cpp
+++ b/src/rillwall/serve.cpp
@@ -183,7 +183,7 @@
 
 asio::awaitable<void> Server::DrainRun() {
   Log(Part::Node).Info("Drains.");
-  mNode.Life().Drain();
+  mNode.Lifecycle().Drain();
   mNode.PublishPhase();
   mGossip.Leave();
   // The balancer needs a moment to see that this node is not ready.
@@ -196,7 +196,7 @@
     co_await Node::Sleep(kDrainPoll);
   }
   co_await HandOverHeld();
-  mNode.Life().Drained();
+  mNode.Lifecycle().Drained();
   mNode.PublishPhase();
   Log(Part::Node).Info("Drained.");
   // Peers may still fetch what they have just been told of.
