--- a/src/include/rillwall/claim.h
+++ b/src/include/rillwall/claim.h
@@ -85,7 +85,7 @@
 std::optional<Error> CheckIdempotencyKey(std::string_view aKey);
 
 /// What the owner of a ClaimCall does next.
-enum class ClaimNext {
+enum class ClaimAction {
   Create,  ///< compare-and-swap the entry from absent to mValue
   Read,    ///< read the entry
   Run,     ///< send the call to the upstream
@@ -95,13 +95,13 @@
 };
 
 struct ClaimStep {
-  ClaimNext mNext = ClaimNext::End;
+  ClaimAction mNext = ClaimAction::End;
   Millis mPause;          ///< wait this long first
   int64_t mRevision = 0;  ///< for Record and Remove
   std::string mValue;     ///< for Create and Record
 };
 
-enum class ClaimVerdict {
+enum class ClaimOutcomeKind {
   Answer,  ///< the upstream's answer, just received
   Replay,  ///< the recorded answer of an earlier call
   Refuse,  ///< an error
@@ -109,7 +109,7 @@
 
 /// What the caller is told.
 struct ClaimOutcome {
-  ClaimVerdict mVerdict = ClaimVerdict::Refuse;
+  ClaimOutcomeKind mKind = ClaimOutcomeKind::Refuse;
   ClaimAnswer mAnswer;                    ///< for Answer and Replay
   Error mError{ErrorKind::Internal, ""};  ///< for Refuse
 };
--- a/src/include/rillwall/rollout.h
+++ b/src/include/rillwall/rollout.h
@@ -85,7 +85,7 @@
   /// \param aVersion weights that made it
   void Append(const std::string& aData, int64_t aVersion);
   /// \return whether a step may use it
-  bool Fits(int64_t aMinVersion, bool aSingleVersion) const;
+  bool SatisfiesVersions(int64_t aMinVersion, bool aSingleVersion) const;
   bool operator==(const RolloutText&) const = default;
 };
 
@@ -123,10 +123,10 @@
 
 /// The state of one step's items: what runs next, what is finished, what may
 /// be listed. The owner of the step is its only user.
-class RolloutBook {
+class RolloutTracker {
  public:
   /// \param aAttempts failures after which an item is given up
-  RolloutBook(RolloutSpec aSpec, int aAttempts, bool aSingleVersion);
+  RolloutTracker(RolloutSpec aSpec, int aAttempts, bool aSingleVersion);
 
   const RolloutSpec& Spec() const { return mSpec; }
   const RolloutItem& Item(size_t aIndex) const { return mSpec.mItems[aIndex]; }
@@ -142,9 +142,9 @@
   /// from then on.
   /// \param aWorth events that take long enough to be generated again
   /// \param aMaxBytes of text, at which the rest is left for the next time
-  std::vector<RolloutPart> TakeUnkept(int64_t aWorth, size_t aMaxBytes);
-  /// \return whether TakeUnkept would give anything out
-  bool HasUnkept(int64_t aWorth) const;
+  std::vector<RolloutPart> TakeUnstored(int64_t aWorth, size_t aMaxBytes);
+  /// \return whether TakeUnstored would give anything out
+  bool HasUnstored(int64_t aWorth) const;
   /// The same for the host's disk, of all texts that are not listed: also those
   /// that have ended.
   std::vector<RolloutPart> TakeUnspooled(int64_t aWorth, size_t aMaxBytes);
@@ -168,18 +168,18 @@
   /// \param aFailed the replica ran it and failed
   /// \return whether it was given up for that
   bool Interrupted(size_t aItem, bool aFailed);
-  /// An item that waits is not to run for now; GiveUpRest() ends it with the
-  /// others if that does not change.
-  void SetAside(size_t aItem);
+  /// An item that waits is not to run for now; TerminateUnfinished() ends it
+  /// with the others if that does not change.
+  void Defer(size_t aItem);
   /// Items that were set aside wait again, if a test allows it.
   /// \param aMayRun whether an item may run now
-  void PutBack(const std::function<bool(size_t aItem)>& aMayRun);
+  void RequeueDeferred(const std::function<bool(size_t aItem)>& aMayRun);
   /// The replica says that the item can never be done.
   void Impossible(size_t aItem);
   /// Text and score are whole.
   void Finished(size_t aItem);
   /// Everything that has not ended is given up, as the longest wait is over.
-  void GiveUpRest();
+  void TerminateUnfinished();
 
   /// Finished results that are not listed yet, in the order they ended.
   std::vector<RolloutResult> TakeUnlisted();
--- a/src/include/rillwall/step.h
+++ b/src/include/rillwall/step.h
@@ -114,9 +114,9 @@
 };
 
 /// A runner that may be given groups.
-struct RunnerRoom {
+struct RunnerCapacity {
   std::string mNode;
-  int64_t mRoom = 0;  ///< groups it could start now
+  int64_t mCapacity = 0;  ///< groups it could start now
 };
 
 /// What a step's owner does next.
@@ -132,12 +132,12 @@
   bool mComplete = false;  ///< the receipt names every group
 };
 
-class StepBook {
+class StepTracker {
  public:
   /// \param aRebuilding whether runners must be asked first what they hold;
   /// no group is ordered until Rebuilt()
-  StepBook(StepSpec aSpec, TrainerRule aRule, bool aRebuilding, Millis aNow);
-  ~StepBook();
+  StepTracker(StepSpec aSpec, TrainerRule aRule, bool aRebuilding, Millis aNow);
+  ~StepTracker();
 
   const StepSpec& Spec() const;
   /// The rule changed with the policy.
@@ -159,7 +159,7 @@
   /// Orders groups: longest expected first, whole groups, within room, nothing
   /// that would be stale at delivery; hedges the tail if the rule allows.
   /// \param aNewest newest weight version known
-  StepActions Tick(const std::vector<RunnerRoom>& aRunners, int64_t aNewest,
+  StepActions Tick(const std::vector<RunnerCapacity>& aRunners, int64_t aNewest,
                    Millis aNow);
   /// A group is finished and held by its runner.
   StepActions Finished(const GroupSummary& aSummary, Millis aNow);
@@ -189,7 +189,7 @@
 };
 
 /// Whether a group of this age and label may be delivered.
-bool WithinBound(const StalenessBound& aBound, int64_t aOldestVersion,
-                 int64_t aNewest, Millis aAge);
+bool WithinStalenessBound(const StalenessBound& aBound, int64_t aOldestVersion,
+                          int64_t aNewest, Millis aAge);
 
 }  // namespace rillwall
--- a/src/include/rillwall/swap_plan.h
+++ b/src/include/rillwall/swap_plan.h
@@ -39,7 +39,7 @@
 struct SwapEngine {
   std::string mId;
   bool mLeaving = false;
-  bool mDuty = false;   ///< this node is its controller
+  bool mIsController = false;  ///< this node is its controller
   uint64_t mFence = 0;  ///< this node's fencing number for it; 0: none yet
   std::optional<LoadReport> mReport;  ///< needed for engines of the duty only
 };
--- a/src/librillwall_coordination/claim_call.cpp
+++ b/src/librillwall_coordination/claim_call.cpp
@@ -73,19 +73,19 @@
                : FailurePause(mFailures, mLimits.mPause, mLimits.mLongestPause);
   }
 
-  void Next(ClaimNext aNext, std::string aValue = {}) {
+  void Next(ClaimAction aNext, std::string aValue = {}) {
     mStep = {aNext, Pause(), mRevision, std::move(aValue)};
   }
 
   void Create() {
     ++mCreates;
-    Next(ClaimNext::Create, EncodeClaim(mClaim));
+    Next(ClaimAction::Create, EncodeClaim(mClaim));
   }
 
   void Refuse(ErrorKind aKind, std::string aDetail, RunState aRun) {
     mOutcome = ClaimOutcome{
-        ClaimVerdict::Refuse, {}, Error(aKind, std::move(aDetail), aRun)};
-    Next(ClaimNext::End);
+        ClaimOutcomeKind::Refuse, {}, Error(aKind, std::move(aDetail), aRun)};
+    Next(ClaimAction::End);
   }
 
   void Tell() {
@@ -152,14 +152,14 @@
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
     aMachine.mContext.mUnsure = true;
     aMachine.mContext.mFailures = 0;
-    aMachine.mContext.Next(ClaimNext::Read);
+    aMachine.mContext.Next(ClaimAction::Read);
   }
 };
 struct DoCheckAgain {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
     ++aMachine.mContext.mFailures;
-    aMachine.mContext.Next(ClaimNext::Read);
+    aMachine.mContext.Next(ClaimAction::Read);
   }
 };
 struct DoRun {
@@ -167,7 +167,7 @@
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
     aMachine.mContext.mRevision = aEvent.mRevision;
     aMachine.mContext.mFailures = 0;
-    aMachine.mContext.Next(ClaimNext::Run);
+    aMachine.mContext.Next(ClaimAction::Run);
   }
 };
 /// The claim is another call's.
@@ -194,9 +194,9 @@
                      RunState::Run);
     } else {
       context.mOutcome =
-          ClaimOutcome{ClaimVerdict::Replay, record.mAnswer,
+          ClaimOutcome{ClaimOutcomeKind::Replay, record.mAnswer,
                        Error(ErrorKind::Internal, "", RunState::Run)};
-      context.Next(ClaimNext::End);
+      context.Next(ClaimAction::End);
     }
   }
 };
@@ -214,7 +214,7 @@
     Context& context = aMachine.mContext;
     context.Refuse(ErrorKind::KvUncertain, kNoClaim, RunState::NotRun);
     context.mFailures = 1;
-    context.Next(ClaimNext::Read);
+    context.Next(ClaimAction::Read);
   }
 };
 struct DoRemoveFound {
@@ -222,7 +222,7 @@
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
     aMachine.mContext.mRevision = aEvent.mRevision;
     aMachine.mContext.mFailures = 0;
-    aMachine.mContext.Next(ClaimNext::Remove);
+    aMachine.mContext.Next(ClaimAction::Remove);
   }
 };
 struct DoRecord {
@@ -230,7 +230,7 @@
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
     context.mPrepared =
-        ClaimOutcome{ClaimVerdict::Answer, std::move(aEvent.mAnswer),
+        ClaimOutcome{ClaimOutcomeKind::Answer, std::move(aEvent.mAnswer),
                      Error(ErrorKind::Internal, "", RunState::Run)};
     context.mClaim.mState = ClaimState::Done;
     context.mClaim.mAnswer = context.mPrepared.mAnswer;
@@ -238,7 +238,7 @@
       context.mClaim.mAnswer.mBody.clear();
       context.mClaim.mAnswer.mBodyLeftOut = true;
     }
-    context.Next(ClaimNext::Record, EncodeClaim(context.mClaim));
+    context.Next(ClaimAction::Record, EncodeClaim(context.mClaim));
   }
 };
 /// The answer waits for the first try only.
@@ -248,7 +248,7 @@
     Context& context = aMachine.mContext;
     ++context.mFailures;
     context.Tell();
-    context.Next(ClaimNext::Record, EncodeClaim(context.mClaim));
+    context.Next(ClaimAction::Record, EncodeClaim(context.mClaim));
   }
 };
 struct DoRemove {
@@ -256,8 +256,8 @@
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
     context.mPrepared = ClaimOutcome{
-        ClaimVerdict::Refuse, {}, aEvent.mError.With(RunState::NotRun)};
-    context.Next(ClaimNext::Remove);
+        ClaimOutcomeKind::Refuse, {}, aEvent.mError.With(RunState::NotRun)};
+    context.Next(ClaimAction::Remove);
   }
 };
 struct DoRemoveAgain {
@@ -266,14 +266,14 @@
     Context& context = aMachine.mContext;
     ++context.mFailures;
     context.Tell();
-    context.Next(ClaimNext::Remove);
+    context.Next(ClaimAction::Remove);
   }
 };
 struct DoEnd {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
     aMachine.mContext.Tell();
-    aMachine.mContext.Next(ClaimNext::End);
+    aMachine.mContext.Next(ClaimAction::End);
   }
 };
 struct DoGiveUp {
@@ -281,7 +281,7 @@
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
     aMachine.mContext.mLeftBehind = true;
     aMachine.mContext.Tell();
-    aMachine.mContext.Next(ClaimNext::End);
+    aMachine.mContext.Next(ClaimAction::End);
   }
 };
 struct DoLose {
@@ -290,8 +290,8 @@
     Context& context = aMachine.mContext;
     context.mLeftBehind = true;
     context.mOutcome = ClaimOutcome{
-        ClaimVerdict::Refuse, {}, aEvent.mError.With(RunState::Unknown)};
-    context.Next(ClaimNext::End);
+        ClaimOutcomeKind::Refuse, {}, aEvent.mError.With(RunState::Unknown)};
+    context.Next(ClaimAction::End);
   }
 };
 
@@ -381,7 +381,7 @@
                      "The claim of this call met an event out of order.",
                      RunState::Unknown);
     }
-    context.Next(ClaimNext::End);
+    context.Next(ClaimAction::End);
   }
 };
 
--- a/src/librillwall_coordination/claim_random_test.cpp
+++ b/src/librillwall_coordination/claim_random_test.cpp
@@ -108,7 +108,7 @@
   void Advance(size_t aIndex) {
     constexpr uint64_t kCrash = 30;
     RunningCall& call = *mCalls[aIndex];
-    const bool ended = call.mStep.mNext == ClaimNext::End;
+    const bool ended = call.mStep.mNext == ClaimAction::End;
     if (!ended && !OneIn(kCrash)) {
       call.mStep = Carry(call);
       return;
@@ -120,13 +120,13 @@
   ClaimStep Carry(RunningCall& aCall) {
     const ClaimStep& step = aCall.mStep;
     switch (step.mNext) {
-      case ClaimNext::Create:
+      case ClaimAction::Create:
         return Write(aCall, 0, step.mValue);
-      case ClaimNext::Record:
+      case ClaimAction::Record:
         return Write(aCall, step.mRevision, step.mValue);
-      case ClaimNext::Remove:
+      case ClaimAction::Remove:
         return Write(aCall, step.mRevision, "");
-      case ClaimNext::Read:
+      case ClaimAction::Read:
         return OneIn(3) ? aCall.mCall.Unavailable() : Current(aCall);
       default:
         return Send(aCall);
@@ -135,7 +135,7 @@
 
   ClaimStep Write(RunningCall& aCall, int64_t aExpected,
                   const std::string& aValue) {
-    const bool create = aCall.mStep.mNext == ClaimNext::Create;
+    const bool create = aCall.mStep.mNext == ClaimAction::Create;
     switch (static_cast<Effect>(mRandom() % 4)) {
       case Effect::Whole:
         return mStore.Swap(aExpected, aValue)
@@ -176,10 +176,10 @@
     if (!outcome) {
       return;
     }
-    const bool refused = outcome->mVerdict == ClaimVerdict::Refuse;
+    const bool refused = outcome->mKind == ClaimOutcomeKind::Refuse;
     const bool notRun = outcome->mError.Run() == RunState::NotRun;
     mTally.mFalseNotRun += refused && notRun && aCall.mRan ? 1 : 0;
-    if (outcome->mVerdict == ClaimVerdict::Replay) {
+    if (outcome->mKind == ClaimOutcomeKind::Replay) {
       ++mTally.mReplays;
       mTally.mFalseReplays += outcome->mAnswer == mAnswer ? 0 : 1;
     }
--- a/src/librillwall_coordination/claim_test.cpp
+++ b/src/librillwall_coordination/claim_test.cpp
@@ -29,12 +29,12 @@
 
 void AssertRefused(const ClaimCall& aCall, ErrorKind aKind, RunState aRun) {
   CPPUNIT_ASSERT(aCall.Outcome().has_value());
-  CPPUNIT_ASSERT(aCall.Outcome()->mVerdict == ClaimVerdict::Refuse);
+  CPPUNIT_ASSERT(aCall.Outcome()->mKind == ClaimOutcomeKind::Refuse);
   CPPUNIT_ASSERT(aCall.Outcome()->mError.Kind() == aKind);
   CPPUNIT_ASSERT(aCall.Outcome()->mError.Run() == aRun);
 }
 
-void AssertNext(ClaimNext aNext, const ClaimStep& aStep) {
+void AssertNext(ClaimAction aNext, const ClaimStep& aStep) {
   CPPUNIT_ASSERT_EQUAL(static_cast<int>(aNext), static_cast<int>(aStep.mNext));
 }
 
@@ -82,24 +82,24 @@
 
   void RunsAndRecords() {
     ClaimCall call = CallOf();
-    AssertNext(ClaimNext::Create, call.Start());
-    AssertNext(ClaimNext::Run, call.Applied(7));
+    AssertNext(ClaimAction::Create, call.Start());
+    AssertNext(ClaimAction::Run, call.Applied(7));
     const ClaimStep record = call.Answered(kAnswer);
-    AssertNext(ClaimNext::Record, record);
+    AssertNext(ClaimAction::Record, record);
     CPPUNIT_ASSERT_EQUAL(int64_t{7}, record.mRevision);
     CPPUNIT_ASSERT(DecodeClaim(record.mValue).value().mAnswer == kAnswer);
     CPPUNIT_ASSERT(!call.Outcome());
-    AssertNext(ClaimNext::End, call.Applied(8));
-    CPPUNIT_ASSERT(call.Outcome()->mVerdict == ClaimVerdict::Answer);
+    AssertNext(ClaimAction::End, call.Applied(8));
+    CPPUNIT_ASSERT(call.Outcome()->mKind == ClaimOutcomeKind::Answer);
     CPPUNIT_ASSERT(!call.LeftBehind());
   }
 
   void RepeatsAreAnsweredFromTheRecord() {
     ClaimCall repeat = CallOf();
     repeat.Start();
-    AssertNext(ClaimNext::End,
+    AssertNext(ClaimAction::End,
                repeat.Found(RecordOf("other", ClaimState::Done), 7));
-    CPPUNIT_ASSERT(repeat.Outcome()->mVerdict == ClaimVerdict::Replay);
+    CPPUNIT_ASSERT(repeat.Outcome()->mKind == ClaimOutcomeKind::Replay);
     CPPUNIT_ASSERT(repeat.Outcome()->mAnswer == kAnswer);
     ClaimCall conflict = CallOf();
     conflict.Start();
@@ -118,20 +118,20 @@
   void LostCreateIsReadBack() {
     ClaimCall landed = CallOf();
     landed.Start();
-    AssertNext(ClaimNext::Read, landed.Uncertain());
-    AssertNext(ClaimNext::Run,
+    AssertNext(ClaimAction::Read, landed.Uncertain());
+    AssertNext(ClaimAction::Run,
                landed.Found(RecordOf("mine", ClaimState::Claimed), 7));
     ClaimCall late = CallOf();
     late.Start();
     late.Uncertain();
-    AssertNext(ClaimNext::Create, late.Absent());
+    AssertNext(ClaimAction::Create, late.Absent());
     // The first write took effect after it was looked for.
-    AssertNext(ClaimNext::Run,
+    AssertNext(ClaimAction::Run,
                late.Found(RecordOf("mine", ClaimState::Claimed), 7));
     ClaimCall lost = CallOf();
     lost.Start();
     lost.Uncertain();
-    AssertNext(ClaimNext::End,
+    AssertNext(ClaimAction::End,
                lost.Found(RecordOf("other", ClaimState::Claimed), 7));
     AssertRefused(lost, ErrorKind::OutcomeUnknown, RunState::Unknown);
   }
@@ -142,23 +142,23 @@
     call.Uncertain();
     ClaimStep step = call.Unavailable();
     for (int read = 2; read <= ClaimLimits().mReadTries; ++read) {
-      AssertNext(ClaimNext::Read, step);
+      AssertNext(ClaimAction::Read, step);
       CPPUNIT_ASSERT(!call.Outcome());
       step = call.Unavailable();
     }
     AssertRefused(call, ErrorKind::KvUncertain, RunState::NotRun);
-    AssertNext(ClaimNext::Read, step);
+    AssertNext(ClaimAction::Read, step);
     step = call.Found(RecordOf("mine", ClaimState::Claimed), 7);
-    AssertNext(ClaimNext::Remove, step);
+    AssertNext(ClaimAction::Remove, step);
     CPPUNIT_ASSERT_EQUAL(int64_t{7}, step.mRevision);
-    AssertNext(ClaimNext::End, call.Applied(8));
+    AssertNext(ClaimAction::End, call.Applied(8));
     CPPUNIT_ASSERT(!call.LeftBehind());
   }
 
   void KvDownIsRefused() {
     ClaimCall call = CallOf();
     call.Start();
-    AssertNext(ClaimNext::End, call.Unavailable());
+    AssertNext(ClaimAction::End, call.Unavailable());
     AssertRefused(call, ErrorKind::KvUnavailable, RunState::NotRun);
   }
 
@@ -166,11 +166,11 @@
     ClaimCall call = CallOf();
     call.Start();
     call.Applied(7);
-    AssertNext(ClaimNext::Remove, call.NotRun(kFailure));
+    AssertNext(ClaimAction::Remove, call.NotRun(kFailure));
     CPPUNIT_ASSERT(!call.Outcome());
-    AssertNext(ClaimNext::Remove, call.Uncertain());
+    AssertNext(ClaimAction::Remove, call.Uncertain());
     AssertRefused(call, ErrorKind::ConnectionLost, RunState::NotRun);
-    AssertNext(ClaimNext::End, call.Absent());
+    AssertNext(ClaimAction::End, call.Absent());
     CPPUNIT_ASSERT(!call.LeftBehind());
   }
 
@@ -178,7 +178,7 @@
     ClaimCall call = CallOf();
     call.Start();
     call.Applied(7);
-    AssertNext(ClaimNext::End, call.Lost(kFailure));
+    AssertNext(ClaimAction::End, call.Lost(kFailure));
     AssertRefused(call, ErrorKind::ConnectionLost, RunState::Unknown);
     CPPUNIT_ASSERT(call.LeftBehind());
   }
@@ -190,10 +190,10 @@
     call.Answered(kAnswer);
     ClaimStep step = call.Uncertain();
     CPPUNIT_ASSERT(call.Outcome()->mAnswer == kAnswer);
-    AssertNext(ClaimNext::Record, step);
+    AssertNext(ClaimAction::Record, step);
     CPPUNIT_ASSERT(step.mPause > Millis(0));
     // The first try took effect after all.
-    AssertNext(ClaimNext::End,
+    AssertNext(ClaimAction::End,
                call.Found(RecordOf("mine", ClaimState::Done), 8));
     CPPUNIT_ASSERT(!call.LeftBehind());
   }
@@ -215,7 +215,7 @@
 
   void EventOutOfOrderNeverRuns() {
     ClaimCall call = CallOf();
-    AssertNext(ClaimNext::End, call.Applied(7));
+    AssertNext(ClaimAction::End, call.Applied(7));
     AssertRefused(call, ErrorKind::Internal, RunState::Unknown);
   }
 };
--- a/src/librillwall_coordination/label.cpp
+++ b/src/librillwall_coordination/label.cpp
@@ -27,8 +27,8 @@
   return oldest == mSpans.end() ? 0 : oldest->mVersion;
 }
 
-bool WithinBound(const StalenessBound& aBound, int64_t aOldestVersion,
-                 int64_t aNewest, Millis aAge) {
+bool WithinStalenessBound(const StalenessBound& aBound, int64_t aOldestVersion,
+                          int64_t aNewest, Millis aAge) {
   const bool versionsHold =
       aBound.mVersions < 0 || aNewest - aOldestVersion <= aBound.mVersions;
   const bool ageHolds = aBound.mAge < Millis(0) || aAge <= aBound.mAge;
--- a/src/librillwall_coordination/label_test.cpp
+++ b/src/librillwall_coordination/label_test.cpp
@@ -38,11 +38,11 @@
 
   void BoundIsInclusive() {
     const StalenessBound bound{1, Millis(100)};
-    CPPUNIT_ASSERT(WithinBound(bound, 4, 5, Millis(100)));
-    CPPUNIT_ASSERT(!WithinBound(bound, 3, 5, Millis(0)));
-    CPPUNIT_ASSERT(!WithinBound(bound, 5, 5, Millis(101)));
+    CPPUNIT_ASSERT(WithinStalenessBound(bound, 4, 5, Millis(100)));
+    CPPUNIT_ASSERT(!WithinStalenessBound(bound, 3, 5, Millis(0)));
+    CPPUNIT_ASSERT(!WithinStalenessBound(bound, 5, 5, Millis(101)));
     const StalenessBound none{-1, Millis(-1)};
-    CPPUNIT_ASSERT(WithinBound(none, 0, 99, Millis(1000000)));
+    CPPUNIT_ASSERT(WithinStalenessBound(none, 0, 99, Millis(1000000)));
   }
 
   void DigestTellsContentsApart() {
--- a/src/librillwall_coordination/rollout_book.cpp
+++ b/src/librillwall_coordination/rollout_tracker.cpp
@@ -25,7 +25,8 @@
   }
 }
 
-bool RolloutText::Fits(int64_t aMinVersion, bool aSingleVersion) const {
+bool RolloutText::SatisfiesVersions(int64_t aMinVersion,
+                                    bool aSingleVersion) const {
   if (aSingleVersion && mVersions.size() > 1) {
     return false;
   }
@@ -34,14 +35,15 @@
       [aMinVersion](int64_t aVersion) { return aVersion >= aMinVersion; });
 }
 
-bool RolloutBook::Place::operator<(const Place& aOther) const {
+bool RolloutTracker::Place::operator<(const Place& aOther) const {
   // The longest first, each by its own hint: the last item to end decides when
   // the step is whole.
   return std::tuple(mRank, -mExpected, mItem) <
          std::tuple(aOther.mRank, -aOther.mExpected, aOther.mItem);
 }
 
-RolloutBook::RolloutBook(RolloutSpec aSpec, int aAttempts, bool aSingleVersion)
+RolloutTracker::RolloutTracker(RolloutSpec aSpec, int aAttempts,
+                               bool aSingleVersion)
     : mSpec(std::move(aSpec)),
       mAttempts(std::max(aAttempts, 1)),
       mSingleVersion(aSingleVersion),
@@ -56,14 +58,14 @@
   }
 }
 
-RolloutBook::Place RolloutBook::PlaceOf(size_t aItem) const {
+RolloutTracker::Place RolloutTracker::PlaceOf(size_t aItem) const {
   const State& state = mStates[aItem];
   const bool begun = state.mText.mEvents > 0 || state.mFailures > 0;
   return {begun ? kRankBegun : kRankFresh, mSpec.mItems[aItem].mLengthHint,
           aItem};
 }
 
-std::optional<size_t> RolloutBook::IndexOf(const std::string& aItem) const {
+std::optional<size_t> RolloutTracker::IndexOf(const std::string& aItem) const {
   const auto found = mIndex.find(aItem);
   if (found == mIndex.end()) {
     return std::nullopt;
@@ -71,7 +73,7 @@
   return found->second;
 }
 
-void RolloutBook::Restore(const std::vector<RolloutResult>& aListed) {
+void RolloutTracker::Restore(const std::vector<RolloutResult>& aListed) {
   for (const RolloutResult& result : aListed) {
     const std::optional<size_t> item = IndexOf(result.mItem);
     if (!item || mStates[*item].mPhase == Phase::Ended) {
@@ -88,11 +90,11 @@
   }
 }
 
-bool RolloutBook::Adopt(size_t aItem, RolloutText aText) {
+bool RolloutTracker::Adopt(size_t aItem, RolloutText aText) {
   State& state = mStates[aItem];
   mGroups.at(mSpec.mItems[aItem].mGroup).mCarried = true;
   if (state.mPhase != Phase::Waiting ||
-      !aText.Fits(mSpec.mMinVersion, mSingleVersion)) {
+      !aText.SatisfiesVersions(mSpec.mMinVersion, mSingleVersion)) {
     return false;
   }
   mWaiting.erase(PlaceOf(aItem));
@@ -108,27 +110,27 @@
   return true;
 }
 
-bool RolloutBook::WorthKeeping(const State& aState, int64_t aWorth) {
+bool RolloutTracker::WorthKeeping(const State& aState, int64_t aWorth) {
   const RolloutText& text = aState.mText;
   return aState.mPhase != Phase::Ended &&
          text.mEvents - text.mKept.mEvents >= aWorth;
 }
 
-bool RolloutBook::WorthSpooling(const State& aState, int64_t aWorth) {
+bool RolloutTracker::WorthSpooling(const State& aState, int64_t aWorth) {
   const RolloutText& text = aState.mText;
   const bool scored = !text.mScore.empty() && !text.mSpooled.mScored;
   return !aState.mListed && text.mEvents > 0 &&
          (scored || text.mEvents - text.mSpooled.mEvents >= aWorth);
 }
 
-bool RolloutBook::HasUnkept(int64_t aWorth) const {
+bool RolloutTracker::HasUnstored(int64_t aWorth) const {
   return std::any_of(mStates.begin(), mStates.end(), [=](const State& aState) {
     return WorthKeeping(aState, aWorth);
   });
 }
 
-RolloutPart RolloutBook::Stretch(std::string aItem, RolloutText& aText,
-                                 TextMark RolloutText::*aMark) {
+RolloutPart RolloutTracker::Stretch(std::string aItem, RolloutText& aText,
+                                    TextMark RolloutText::*aMark) {
   TextMark& mark = aText.*aMark;
   RolloutPart part;
   part.mItem = std::move(aItem);
@@ -146,7 +148,7 @@
   return part;
 }
 
-std::vector<RolloutPart> RolloutBook::TakeWorthy(
+std::vector<RolloutPart> RolloutTracker::TakeWorthy(
     bool (*aWorthy)(const State&, int64_t), int64_t aWorth, size_t aMaxBytes,
     TextMark RolloutText::*aMark) {
   std::vector<RolloutPart> parts;
@@ -160,17 +162,17 @@
   return parts;
 }
 
-std::vector<RolloutPart> RolloutBook::TakeUnkept(int64_t aWorth,
-                                                 size_t aMaxBytes) {
+std::vector<RolloutPart> RolloutTracker::TakeUnstored(int64_t aWorth,
+                                                      size_t aMaxBytes) {
   return TakeWorthy(&WorthKeeping, aWorth, aMaxBytes, &RolloutText::mKept);
 }
 
-std::vector<RolloutPart> RolloutBook::TakeUnspooled(int64_t aWorth,
-                                                    size_t aMaxBytes) {
+std::vector<RolloutPart> RolloutTracker::TakeUnspooled(int64_t aWorth,
+                                                       size_t aMaxBytes) {
   return TakeWorthy(&WorthSpooling, aWorth, aMaxBytes, &RolloutText::mSpooled);
 }
 
-void RolloutBook::Listed(const std::vector<RolloutResult>& aResults) {
+void RolloutTracker::Listed(const std::vector<RolloutResult>& aResults) {
   for (const RolloutResult& result : aResults) {
     const std::optional<size_t> item = IndexOf(result.mItem);
     if (item) {
@@ -179,13 +181,13 @@
   }
 }
 
-void RolloutBook::AdoptRestored(size_t aItem, RolloutText aText) {
+void RolloutTracker::AdoptRestored(size_t aItem, RolloutText aText) {
   State& state = mStates[aItem];
   const RolloutText& here = state.mText;
   const bool more = std::tuple(aText.mEvents, aText.mScore.size()) >
                     std::tuple(here.mEvents, here.mScore.size());
   if (state.mPhase != Phase::Waiting || !more ||
-      !aText.Fits(mSpec.mMinVersion, mSingleVersion)) {
+      !aText.SatisfiesVersions(mSpec.mMinVersion, mSingleVersion)) {
     return;
   }
   mWaiting.erase(PlaceOf(aItem));
@@ -196,7 +198,7 @@
   }
 }
 
-int64_t RolloutBook::RestoreTexts(const std::vector<RolloutPart>& aParts) {
+int64_t RolloutTracker::RestoreTexts(const std::vector<RolloutPart>& aParts) {
   std::map<size_t, RolloutText> texts;
   for (const RolloutPart& part : aParts) {
     const std::optional<size_t> item = IndexOf(part.mItem);
@@ -228,7 +230,7 @@
   return events;
 }
 
-std::optional<RolloutPick> RolloutBook::Next() const {
+std::optional<RolloutPick> RolloutTracker::Next() const {
   if (mWaiting.empty()) {
     return std::nullopt;
   }
@@ -237,13 +239,13 @@
   return RolloutPick{item, last};
 }
 
-void RolloutBook::Started(size_t aItem, const std::string& aReplica) {
+void RolloutTracker::Started(size_t aItem, const std::string& aReplica) {
   mWaiting.erase(PlaceOf(aItem));
   mStates[aItem].mPhase = Phase::Running;
   mStates[aItem].mLastReplica = aReplica;
 }
 
-bool RolloutBook::Interrupted(size_t aItem, bool aFailed) {
+bool RolloutTracker::Interrupted(size_t aItem, bool aFailed) {
   State& state = mStates[aItem];
   if (state.mPhase != Phase::Running) {
     return false;
@@ -258,7 +260,7 @@
   return false;
 }
 
-void RolloutBook::SetAside(size_t aItem) {
+void RolloutTracker::Defer(size_t aItem) {
   State& state = mStates[aItem];
   if (state.mPhase == Phase::Waiting) {
     mWaiting.erase(PlaceOf(aItem));
@@ -267,7 +269,8 @@
   }
 }
 
-void RolloutBook::PutBack(const std::function<bool(size_t aItem)>& aMayRun) {
+void RolloutTracker::RequeueDeferred(
+    const std::function<bool(size_t aItem)>& aMayRun) {
   for (auto at = mAside.begin(); at != mAside.end();) {
     if (!aMayRun(*at)) {
       ++at;
@@ -279,19 +282,19 @@
   }
 }
 
-void RolloutBook::Impossible(size_t aItem) {
+void RolloutTracker::Impossible(size_t aItem) {
   if (mStates[aItem].mPhase == Phase::Running) {
     End(aItem, RolloutEnd::Terminated);
   }
 }
 
-void RolloutBook::Finished(size_t aItem) {
+void RolloutTracker::Finished(size_t aItem) {
   if (mStates[aItem].mPhase == Phase::Running) {
     End(aItem, RolloutEnd::Completed);
   }
 }
 
-void RolloutBook::GiveUpRest() {
+void RolloutTracker::TerminateUnfinished() {
   for (size_t i = 0; i < mStates.size(); ++i) {
     if (mStates[i].mPhase != Phase::Ended) {
       End(i, RolloutEnd::Terminated);
@@ -299,7 +302,7 @@
   }
 }
 
-void RolloutBook::End(size_t aItem, RolloutEnd aEnd) {
+void RolloutTracker::End(size_t aItem, RolloutEnd aEnd) {
   State& state = mStates[aItem];
   if (state.mPhase == Phase::Waiting) {
     mWaiting.erase(PlaceOf(aItem));
@@ -313,7 +316,7 @@
   mUnlisted.push_back(ResultOf(aItem, aEnd));
 }
 
-RolloutResult RolloutBook::ResultOf(size_t aItem, RolloutEnd aEnd) const {
+RolloutResult RolloutTracker::ResultOf(size_t aItem, RolloutEnd aEnd) const {
   const RolloutText& text = mStates[aItem].mText;
   RolloutResult result;
   result.mItem = mSpec.mItems[aItem].mId;
@@ -326,11 +329,11 @@
   return result;
 }
 
-std::vector<RolloutResult> RolloutBook::TakeUnlisted() {
+std::vector<RolloutResult> RolloutTracker::TakeUnlisted() {
   return std::exchange(mUnlisted, {});
 }
 
-bool RolloutBook::TargetReached() const {
+bool RolloutTracker::TargetReached() const {
   if (static_cast<int64_t>(mWholeGroups) <
       std::max<int64_t>(mSpec.mTargetGroups, 1)) {
     return false;
@@ -341,7 +344,7 @@
   });
 }
 
-std::map<std::string, RolloutText> RolloutBook::TextsOfOpenGroups() const {
+std::map<std::string, RolloutText> RolloutTracker::TextsOfOpenGroups() const {
   std::map<std::string, RolloutText> texts;
   for (size_t i = 0; i < mStates.size(); ++i) {
     const RolloutItem& item = mSpec.mItems[i];
--- a/src/librillwall_coordination/step_bench.cpp
+++ b/src/librillwall_coordination/step_bench.cpp
@@ -31,8 +31,8 @@
   return spec;
 }
 
-std::vector<RunnerRoom> Rooms(size_t aNodes, int64_t aRoom) {
-  std::vector<RunnerRoom> rooms;
+std::vector<RunnerCapacity> Rooms(size_t aNodes, int64_t aRoom) {
+  std::vector<RunnerCapacity> rooms;
   for (size_t node = 0; node < aNodes; ++node) {
     rooms.push_back({"node-" + std::to_string(node), aRoom});
   }
@@ -46,37 +46,38 @@
 /// Orders all 2,048 groups (of one sample) at once.
 void TickOrders(benchmark::State& aState) {
   const StepSpec spec = SpecOf(kSamples);
-  const std::vector<RunnerRoom> rooms = Rooms(kNodes, 6);
+  const std::vector<RunnerCapacity> rooms = Rooms(kNodes, 6);
   for (auto _ : aState) {
     aState.PauseTiming();
-    StepBook book(spec, TrainerRule(), false, kStart);
+    StepTracker tracker(spec, TrainerRule(), false, kStart);
     aState.ResumeTiming();
-    benchmark::DoNotOptimize(book.Tick(rooms, 5, kStart));
+    benchmark::DoNotOptimize(tracker.Tick(rooms, 5, kStart));
   }
 }
 BENCHMARK(TickOrders)->Unit(benchmark::kMicrosecond);
 
 /// A tick at which nothing is to be done: all groups run.
 void TickIdle(benchmark::State& aState) {
-  StepBook book(SpecOf(kSamples), TrainerRule(), false, kStart);
-  const std::vector<RunnerRoom> rooms = Rooms(kNodes, 6);
-  book.Tick(rooms, 5, kStart);
+  StepTracker tracker(SpecOf(kSamples), TrainerRule(), false, kStart);
+  const std::vector<RunnerCapacity> rooms = Rooms(kNodes, 6);
+  tracker.Tick(rooms, 5, kStart);
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(book.Tick(rooms, 5, kStart));
+    benchmark::DoNotOptimize(tracker.Tick(rooms, 5, kStart));
   }
 }
 BENCHMARK(TickIdle)->Unit(benchmark::kMicrosecond);
 
 /// A pull while all groups are held: plans 64 of them.
 void PlanHeld(benchmark::State& aState) {
-  StepBook book(SpecOf(kSamples), TrainerRule(), false, kStart);
-  for (const GroupOrder& order : book.Tick(Rooms(kNodes, 6), 5, kStart).mRun) {
-    book.Finished(Done(order), kStart);
+  StepTracker tracker(SpecOf(kSamples), TrainerRule(), false, kStart);
+  for (const GroupOrder& order :
+       tracker.Tick(Rooms(kNodes, 6), 5, kStart).mRun) {
+    tracker.Finished(Done(order), kStart);
   }
-  const Receipt receipt(book.Spec().mId, kSamples);
+  const Receipt receipt(tracker.Spec().mId, kSamples);
   StepActions actions;
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(book.Plan(receipt, 5, 64, kStart, actions));
+    benchmark::DoNotOptimize(tracker.Plan(receipt, 5, 64, kStart, actions));
   }
 }
 BENCHMARK(PlanHeld)->Unit(benchmark::kMicrosecond);
@@ -99,19 +100,19 @@
 /// A takeover: 370 nodes name what they hold and run.
 void Rebuild(benchmark::State& aState) {
   const StepSpec spec = SpecOf(kSamples);
-  StepBook before(spec, TrainerRule(), false, kStart);
+  StepTracker before(spec, TrainerRule(), false, kStart);
   std::map<std::string, std::vector<GroupSummary>> held;
   for (const GroupOrder& order :
        before.Tick(Rooms(kNodes, 6), 5, kStart).mRun) {
     held[order.mRunner].push_back(Done(order));
   }
   for (auto _ : aState) {
-    StepBook book(spec, TrainerRule(), true, kStart);
+    StepTracker tracker(spec, TrainerRule(), true, kStart);
     for (const auto& [runner, groups] : held) {
-      book.Inventory(runner, groups, {}, kStart);
+      tracker.Inventory(runner, groups, {}, kStart);
     }
-    book.Rebuilt(kStart);
-    benchmark::DoNotOptimize(book.Held());
+    tracker.Rebuilt(kStart);
+    benchmark::DoNotOptimize(tracker.Held());
   }
 }
 BENCHMARK(Rebuild)->Unit(benchmark::kMillisecond);
@@ -129,7 +130,7 @@
   Engines mEngines = Engines::Alike;
   Millis mVersionEvery{0};  ///< 0: no new versions
   bool mLookAhead = false;  ///< the versions' interval is known
-  int64_t mRoom = 4;        ///< groups a runner takes at once
+  int64_t mCapacity = 4;    ///< groups a runner takes at once
 };
 
 /// One simulated step: 256 groups of 8 on 32 runners with room for 4 each (or
@@ -140,10 +141,10 @@
   SimulatedStep(uint64_t aSeed, const Scenario& aScenario)
       : mRandom(aSeed),
         mScenario(aScenario),
-        mBook(MakeSpec(), MakeRule(), false, kStart),
-        mReceipt(mBook.Spec().mId, kGroups) {
+        mTracker(MakeSpec(), MakeRule(), false, kStart),
+        mReceipt(mTracker.Spec().mId, kGroups) {
     if (mScenario.mLookAhead) {
-      mBook.SetVersionInterval(mScenario.mVersionEvery);
+      mTracker.SetVersionInterval(mScenario.mVersionEvery);
     }
   }
 
@@ -151,7 +152,7 @@
   double Run() {
     constexpr Millis kTick{50};
     while (!mReceipt.Complete()) {
-      const StepActions actions = mBook.Tick(FreeRooms(), Newest(), mNow);
+      const StepActions actions = mTracker.Tick(FreeRooms(), Newest(), mNow);
       Cancel(actions);
       for (const GroupOrder& order : actions.mRun) {
         Begin(order);
@@ -197,10 +198,10 @@
     return spec;
   }
 
-  std::vector<RunnerRoom> FreeRooms() const {
-    std::vector<RunnerRoom> rooms = Rooms(kRunners, mScenario.mRoom);
+  std::vector<RunnerCapacity> FreeRooms() const {
+    std::vector<RunnerCapacity> rooms = Rooms(kRunners, mScenario.mCapacity);
     for (const auto& [finish, run] : mRunning) {
-      --rooms[std::stoul(run.mOrder.mRunner.substr(5))].mRoom;
+      --rooms[std::stoul(run.mOrder.mRunner.substr(5))].mCapacity;
     }
     return rooms;
   }
@@ -231,7 +232,7 @@
       summary.mTokens = static_cast<int64_t>(mTokens[run.mOrder.mGroup]);
       summary.mOldestVersion = run.mVersion;
       summary.mAge = mNow - run.mBegun;
-      Cancel(mBook.Finished(summary, mNow));
+      Cancel(mTracker.Finished(summary, mNow));
     }
   }
 
@@ -246,7 +247,7 @@
   void Pull() {
     StepActions actions;
     const PullPlan plan =
-        mBook.Plan(mReceipt, Newest(), kGroups, mNow, actions);
+        mTracker.Plan(mReceipt, Newest(), kGroups, mNow, actions);
     for (const GroupSummary& taken : plan.mGroups) {
       mReceipt.Add(taken.mGroup);
     }
@@ -262,7 +263,7 @@
   std::mt19937_64 mRandom;
   Scenario mScenario;
   std::vector<double> mTokens;
-  StepBook mBook;
+  StepTracker mTracker;
   Receipt mReceipt;
   Millis mNow = kStart;
   std::multimap<Millis, GroupRun> mRunning;
@@ -311,7 +312,7 @@
   for (size_t each = 0; each < kEngines; ++each) {
     SwapEngine engine;
     engine.mId = "engine-" + std::to_string(each);
-    engine.mDuty = each < 2;
+    engine.mIsController = each < 2;
     engine.mFence = 1;
     engine.mReport = LoadReport();
     engine.mReport->mVersion = 5;
--- a/src/librillwall_coordination/step_ledger.cpp
+++ b/src/librillwall_coordination/step_ledger.cpp
@@ -57,8 +57,8 @@
 }
 
 bool StepLedger::Fresh(const GroupRecord& aGroup, Millis aNow) const {
-  return WithinBound(mRule.mStaleness, aGroup.mHeld.mOldestVersion, mNewest,
-                     AgeOf(aGroup, aNow));
+  return WithinStalenessBound(mRule.mStaleness, aGroup.mHeld.mOldestVersion,
+                              mNewest, AgeOf(aGroup, aNow));
 }
 
 void StepLedger::SeeNewest(int64_t aNewest, Millis aNow) {
--- a/src/librillwall_coordination/step_ledger.h
+++ b/src/librillwall_coordination/step_ledger.h
@@ -13,7 +13,7 @@
 
 namespace rillwall {
 
-/// The state behind a StepBook. Group numbers given must be known.
+/// The state behind a StepTracker. Group numbers given must be known.
 struct StepLedger {
   StepLedger(StepSpec aSpec, TrainerRule aRule, bool aRebuilding, Millis aNow);
 
--- a/src/librillwall_coordination/step_random_test.cpp
+++ b/src/librillwall_coordination/step_random_test.cpp
@@ -93,13 +93,13 @@
   }
 
  private:
-  using Book = std::shared_ptr<StepBook>;
+  using Book = std::shared_ptr<StepTracker>;
 
   bool OneIn(uint64_t aChance) { return mRandom() % aChance == 0; }
   bool Faulty() { return mNow < kFaultsEnd && OneIn(10); }
 
   Book NewBook(bool aRebuilding) {
-    return std::make_shared<StepBook>(mSpec, mRule, aRebuilding, mNow);
+    return std::make_shared<StepTracker>(mSpec, mRule, aRebuilding, mNow);
   }
 
   /// Does something later, or never.
@@ -148,14 +148,14 @@
   /// A new owner asks the runners, of which some do not answer. The old one
   /// goes on for a while.
   void TakeOver() {
-    const Book book = NewBook(true);
+    const Book tracker = NewBook(true);
     for (size_t each = 0; each < kRunners; ++each) {
       if (mRunners[each].mUp && !Faulty()) {
-        ShowInventory(each, *book);
+        ShowInventory(each, *tracker);
       }
     }
-    book->Rebuilt(mNow);
-    mOwners.push_back(book);
+    tracker->Rebuilt(mNow);
+    mOwners.push_back(tracker);
   }
 
   void AskRunners() {
@@ -173,7 +173,7 @@
     }
   }
 
-  void ShowInventory(size_t aRunner, StepBook& aBook) {
+  void ShowInventory(size_t aRunner, StepTracker& aTracker) {
     std::vector<GroupSummary> held;
     std::vector<GroupOrder> running;
     for (const auto& [key, sample] : mRunners[aRunner].mSamples) {
@@ -183,7 +183,7 @@
         running.push_back({key.first, Name(aRunner), key.second});
       }
     }
-    aBook.Inventory(Name(aRunner), held, running, mNow);
+    aTracker.Inventory(Name(aRunner), held, running, mNow);
   }
 
   static std::string Name(size_t aRunner) {
@@ -203,8 +203,8 @@
             100};
   }
 
-  std::vector<RunnerRoom> Rooms() const {
-    std::vector<RunnerRoom> rooms;
+  std::vector<RunnerCapacity> Rooms() const {
+    std::vector<RunnerCapacity> rooms;
     for (size_t each = 0; each < kRunners; ++each) {
       const auto used = static_cast<int64_t>(mRunners[each].mSamples.size());
       if (mRunners[each].mUp) {
@@ -294,24 +294,25 @@
     });
   }
 
-  Answer Make(StepBook& aBook, const Book& aOwner, const std::string& aReceipt,
-              int64_t aVersion) {
+  Answer Make(StepTracker& aTracker, const Book& aOwner,
+              const std::string& aReceipt, int64_t aVersion) {
     Receipt receipt = Receipt::Parse(aReceipt, mSpec.mId, kGroups).value();
     StepActions actions;
     const int64_t newest = std::max(aVersion, mVersion);
     const PullPlan plan =
-        aBook.Plan(receipt, newest, 1 + mRandom() % 8, mNow, actions);
+        aTracker.Plan(receipt, newest, 1 + mRandom() % 8, mNow, actions);
     CarryOut(aOwner, actions);
     Answer answer{aReceipt, "", {}};
     for (const GroupSummary& each : plan.mGroups) {
       const auto& samples = Of(each.mRunner).mSamples;
       const auto sample = samples.find({each.mGroup, each.mAttempt});
       if (sample == samples.end()) {
-        aBook.Failed(each.mGroup, each.mRunner, each.mAttempt, mNow);
+        aTracker.Failed(each.mGroup, each.mRunner, each.mAttempt, mNow);
         continue;
       }
-      const bool fresh = WithinBound(kBound, sample->second.mVersion, newest,
-                                     mNow - sample->second.mFirstToken);
+      const bool fresh =
+          WithinStalenessBound(kBound, sample->second.mVersion, newest,
+                               mNow - sample->second.mFirstToken);
       mTally.mStale += fresh ? 0 : 1;
       receipt.Add(each.mGroup);
       answer.mGroups.push_back(each.mGroup);
--- a/src/librillwall_coordination/step_runners.cpp
+++ b/src/librillwall_coordination/step_runners.cpp
@@ -47,10 +47,10 @@
   return paused || aRunning > 0 ? 0 : std::min<int64_t>(aRoom, 1);
 }
 
-RoomPool::RoomPool(std::vector<RunnerRoom> aRunners) {
+RoomPool::RoomPool(std::vector<RunnerCapacity> aRunners) {
   size_t place = 0;
-  for (RunnerRoom& runner : aRunners) {
-    mTotal += std::max<int64_t>(runner.mRoom, 0);
+  for (RunnerCapacity& runner : aRunners) {
+    mTotal += std::max<int64_t>(runner.mCapacity, 0);
     Push({std::move(runner), place++});
   }
 }
@@ -71,7 +71,7 @@
     best = std::move(next);
   }
   std::string node = best.mRunner.mNode;
-  --best.mRunner.mRoom;
+  --best.mRunner.mCapacity;
   --mTotal;
   Push(std::move(best));
   return node;
@@ -84,7 +84,7 @@
 }
 
 void RoomPool::Push(Entry aEntry) {
-  if (aEntry.mRunner.mRoom > 0) {
+  if (aEntry.mRunner.mCapacity > 0) {
     mRunners.push(std::move(aEntry));
   }
 }
--- a/src/librillwall_coordination/step_runners.h
+++ b/src/librillwall_coordination/step_runners.h
@@ -40,7 +40,7 @@
 /// equals the one named first by the owner, whose order differs between steps.
 class RoomPool {
  public:
-  explicit RoomPool(std::vector<RunnerRoom> aRunners);
+  explicit RoomPool(std::vector<RunnerCapacity> aRunners);
   int64_t Total() const { return mTotal; }
   /// Takes room for one group.
   /// \param aAvoid a runner taken only if aStrict is false and no other has
@@ -50,13 +50,13 @@
 
  private:
   struct Entry {
-    RunnerRoom mRunner;
+    RunnerCapacity mRunner;
     size_t mPlace = 0;  ///< in the order given
   };
   struct LessRoom {
     bool operator()(const Entry& aLeft, const Entry& aRight) const {
-      return aLeft.mRunner.mRoom != aRight.mRunner.mRoom
-                 ? aLeft.mRunner.mRoom < aRight.mRunner.mRoom
+      return aLeft.mRunner.mCapacity != aRight.mRunner.mCapacity
+                 ? aLeft.mRunner.mCapacity < aRight.mRunner.mCapacity
                  : aLeft.mPlace > aRight.mPlace;
     }
   };
--- a/src/librillwall_coordination/step_scheduler.cpp
+++ b/src/librillwall_coordination/step_scheduler.cpp
@@ -26,15 +26,15 @@
 }
 
 /// The room of the runners that may be given groups now.
-std::vector<RunnerRoom> UsableRooms(const GroupTable& aGroups,
-                                    const RunnerHealth& aHealth,
-                                    const ScheduleInputs& aInputs) {
-  std::vector<RunnerRoom> rooms = aInputs.mRunners;
-  for (RunnerRoom& each : rooms) {
-    if (each.mRoom > 0 && aHealth.Suspect(each.mNode)) {
+std::vector<RunnerCapacity> UsableRooms(const GroupTable& aGroups,
+                                        const RunnerHealth& aHealth,
+                                        const ScheduleInputs& aInputs) {
+  std::vector<RunnerCapacity> rooms = aInputs.mRunners;
+  for (RunnerCapacity& each : rooms) {
+    if (each.mCapacity > 0 && aHealth.Suspect(each.mNode)) {
       const auto running = static_cast<int64_t>(aGroups.AttemptsOn(each.mNode));
-      each.mRoom =
-          aHealth.Allowed(each.mNode, each.mRoom, running, aInputs.mNow);
+      each.mCapacity =
+          aHealth.Allowed(each.mNode, each.mCapacity, running, aInputs.mNow);
     }
   }
   return rooms;
--- a/src/librillwall_coordination/step_scheduler.h
+++ b/src/librillwall_coordination/step_scheduler.h
@@ -15,7 +15,7 @@
 /// What the scheduler has learned and must respect.
 struct ScheduleInputs {
   const TrainerRule& mRule;
-  const std::vector<RunnerRoom>& mRunners;
+  const std::vector<RunnerCapacity>& mRunners;
   int64_t mGroupSize = 1;
   int64_t mNewest = 0;
   Millis mNow;
--- a/src/librillwall_coordination/step_book.cpp
+++ b/src/librillwall_coordination/step_tracker.cpp
@@ -10,28 +10,31 @@
 
 namespace rillwall {
 
-struct StepBook::Impl : StepLedger {
+struct StepTracker::Impl : StepLedger {
   using StepLedger::StepLedger;
 };
 
-StepBook::StepBook(StepSpec aSpec, TrainerRule aRule, bool aRebuilding,
-                   Millis aNow)
+StepTracker::StepTracker(StepSpec aSpec, TrainerRule aRule, bool aRebuilding,
+                         Millis aNow)
     : mImpl(std::make_unique<Impl>(std::move(aSpec), std::move(aRule),
                                    aRebuilding, aNow)) {}
 
-StepBook::~StepBook() = default;
+StepTracker::~StepTracker() = default;
 
-const StepSpec& StepBook::Spec() const { return mImpl->mSpec; }
+const StepSpec& StepTracker::Spec() const { return mImpl->mSpec; }
 
-void StepBook::SetRule(TrainerRule aRule) { mImpl->mRule = std::move(aRule); }
+void StepTracker::SetRule(TrainerRule aRule) {
+  mImpl->mRule = std::move(aRule);
+}
 
-void StepBook::SetVersionInterval(Millis aInterval) {
+void StepTracker::SetVersionInterval(Millis aInterval) {
   mImpl->mEstimates.mPace.Expect(aInterval);
 }
 
-void StepBook::Inventory(std::string_view aRunner,
-                         const std::vector<GroupSummary>& aHeld,
-                         const std::vector<GroupOrder>& aRunning, Millis aNow) {
+void StepTracker::Inventory(std::string_view aRunner,
+                            const std::vector<GroupSummary>& aHeld,
+                            const std::vector<GroupOrder>& aRunning,
+                            Millis aNow) {
   std::set<size_t> named;
   for (GroupSummary summary : aHeld) {
     if (mImpl->Known(summary.mGroup)) {
@@ -53,7 +56,7 @@
   }
 }
 
-std::vector<std::string> StepBook::RunnersToAsk() const {
+std::vector<std::string> StepTracker::RunnersToAsk() const {
   std::set<std::string> runners;
   for (size_t group = 0; group < mImpl->mGroups.Size(); ++group) {
     for (const GroupAttempt& attempt : mImpl->mGroups.At(group).mAttempts) {
@@ -65,13 +68,13 @@
   return {runners.begin(), runners.end()};
 }
 
-void StepBook::Rebuilt(Millis aNow) {
+void StepTracker::Rebuilt(Millis aNow) {
   mImpl->mRebuilding = false;
   mImpl->mRebuiltAt = aNow;
 }
 
-StepActions StepBook::Tick(const std::vector<RunnerRoom>& aRunners,
-                           int64_t aNewest, Millis aNow) {
+StepActions StepTracker::Tick(const std::vector<RunnerCapacity>& aRunners,
+                              int64_t aNewest, Millis aNow) {
   StepActions actions;
   mImpl->SeeNewest(aNewest, aNow);
   mImpl->TakePending(actions);
@@ -85,7 +88,7 @@
   return actions;
 }
 
-StepActions StepBook::Finished(const GroupSummary& aSummary, Millis aNow) {
+StepActions StepTracker::Finished(const GroupSummary& aSummary, Millis aNow) {
   StepActions actions;
   if (mImpl->Known(aSummary.mGroup)) {
     mImpl->Finished(aSummary, aNow, actions);
@@ -93,22 +96,23 @@
   return actions;
 }
 
-void StepBook::Failed(size_t aGroup, std::string_view aRunner,
-                      uint64_t aAttempt, Millis aNow) {
+void StepTracker::Failed(size_t aGroup, std::string_view aRunner,
+                         uint64_t aAttempt, Millis aNow) {
   if (mImpl->Known(aGroup)) {
     mImpl->Failed(aGroup, aRunner, aAttempt, aNow);
   }
 }
 
-void StepBook::RunnerLost(std::string_view aRunner, Millis aNow) {
+void StepTracker::RunnerLost(std::string_view aRunner, Millis aNow) {
   mImpl->mEstimates.mHealth.Forget(aRunner);
   for (size_t group = 0; group < mImpl->mGroups.Size(); ++group) {
     mImpl->LoseGroup(group, aRunner, aNow);
   }
 }
 
-PullPlan StepBook::Plan(const Receipt& aReceipt, int64_t aNewest,
-                        size_t aMaxGroups, Millis aNow, StepActions& aActions) {
+PullPlan StepTracker::Plan(const Receipt& aReceipt, int64_t aNewest,
+                           size_t aMaxGroups, Millis aNow,
+                           StepActions& aActions) {
   mImpl->Apply(aReceipt, aNow, aActions);
   mImpl->SeeNewest(aNewest, aNow);
   mImpl->DropAllStale(aNow, aActions);
@@ -124,25 +128,27 @@
   return plan;
 }
 
-Millis StepBook::OpenedAt() const { return mImpl->mOpenedAt; }
+Millis StepTracker::OpenedAt() const { return mImpl->mOpenedAt; }
 
-size_t StepBook::Delivered() const {
+size_t StepTracker::Delivered() const {
   return mImpl->mGroups.Count(GroupState::Delivered);
 }
 
-size_t StepBook::Held() const { return mImpl->mGroups.Count(GroupState::Held); }
+size_t StepTracker::Held() const {
+  return mImpl->mGroups.Count(GroupState::Held);
+}
 
-size_t StepBook::Running() const {
+size_t StepTracker::Running() const {
   return mImpl->mGroups.Count(GroupState::Running);
 }
 
-size_t StepBook::Waiting() const {
+size_t StepTracker::Waiting() const {
   return mImpl->mGroups.Count(GroupState::Waiting);
 }
 
-uint64_t StepBook::StaleDropped() const { return mImpl->mStaleDropped; }
+uint64_t StepTracker::StaleDropped() const { return mImpl->mStaleDropped; }
 
-std::string StepBook::Dump() const {
+std::string StepTracker::Dump() const {
   const boost::json::object dump{
       {"trainer", mImpl->mSpec.mId.mTrainer},
       {"step", mImpl->mSpec.mId.mStep},
--- a/src/librillwall_coordination/swap_plan.cpp
+++ b/src/librillwall_coordination/swap_plan.cpp
@@ -132,7 +132,7 @@
       return orders;
     }
     for (const SwapEngine& engine : aInputs.mEngines) {
-      if (engine.mDuty && !engine.mLeaving) {
+      if (engine.mIsController && !engine.mLeaving) {
         Follow(aInputs, engine, aNow, orders);
       }
     }
--- a/src/librillwall_coordination/swap_plan_test.cpp
+++ b/src/librillwall_coordination/swap_plan_test.cpp
@@ -21,7 +21,7 @@
                   Millis aAt) {
   SwapEngine engine;
   engine.mId = std::move(aId);
-  engine.mDuty = true;
+  engine.mIsController = true;
   engine.mFence = 3;
   engine.mReport = LoadReport();
   engine.mReport->mVersion = aVersion;
@@ -116,9 +116,9 @@
     inputs.mEngines[0].mReport.reset();
     CPPUNIT_ASSERT(plan.Tick(inputs, kStart).empty());
     inputs = One(kOld, 0, kStart);
-    inputs.mEngines[0].mDuty = false;
+    inputs.mEngines[0].mIsController = false;
     CPPUNIT_ASSERT(plan.Tick(inputs, kStart).empty());
-    inputs.mEngines[0].mDuty = true;
+    inputs.mEngines[0].mIsController = true;
     inputs.mEngines[0].mLeaving = true;
     CPPUNIT_ASSERT(plan.Tick(inputs, kStart).empty());
   }
@@ -268,7 +268,7 @@
       inputs.mEngines.push_back(Engine("e" + std::to_string(each),
                                        aEngines[each].mVersion,
                                        aEngines[each].mLoading, aNow));
-      inputs.mEngines.back().mDuty = false;
+      inputs.mEngines.back().mIsController = false;
     }
     for (size_t node = 0; node < aPlans.size(); ++node) {
       const bool knows = aNow >= aLearned[node];
@@ -276,7 +276,7 @@
                         knows ? aLearned[node] : kStart - Millis(1000)};
       const auto setDuty = [&](bool aDuty) {
         for (size_t e = node; e < aEngines.size(); e += aPlans.size()) {
-          inputs.mEngines[e].mDuty = aDuty;
+          inputs.mEngines[e].mIsController = aDuty;
         }
       };
       setDuty(true);
--- a/src/librillwall_rollout/item_run.cpp
+++ b/src/librillwall_rollout/item_run.cpp
@@ -32,8 +32,8 @@
 }
 
 RequestParts PartsOf(const RolloutStep& aStep, size_t aItem) {
-  const RolloutSpec& spec = aStep.mBook.Spec();
-  const RolloutItem& item = aStep.mBook.Item(aItem);
+  const RolloutSpec& spec = aStep.mTracker.Spec();
+  const RolloutItem& item = aStep.mTracker.Item(aItem);
   return {"POST", spec.mHost, item.mPath, spec.mAccount, item.mBody};
 }
 
@@ -48,7 +48,7 @@
 
 HttpRequest MakeRequest(const NodeContext& aNode, RolloutStep& aStep,
                         size_t aItem, const Replica& aReplica) {
-  const RolloutItem& item = aStep.mBook.Item(aItem);
+  const RolloutItem& item = aStep.mTracker.Item(aItem);
   const HeaderNames& names = aNode.mHeaders;
   HttpRequest request;
   request.mMethod = "POST";
@@ -58,13 +58,13 @@
   for (const RolloutHeader& header : item.mHeaders) {
     request.mHeaders.push_back({header.mName, header.mValue});
   }
-  NameAccount(aNode, *aNode.mRoutes.Read(), aStep.mBook.Spec().mAccount,
+  NameAccount(aNode, *aNode.mRoutes.Read(), aStep.mTracker.Spec().mAccount,
               request.mHeaders);
   request.mHeaders.push_back({names.mRequestId, item.mId});
   request.mHeaders.push_back({names.mExpectReplica, aReplica.mId});
   const Millis left = std::max(Millis(1), aStep.mGiveUpAt - aNode.Now());
   request.mHeaders.push_back({names.mTimeLeft, std::to_string(left.Count())});
-  const RolloutText& text = aStep.mBook.Text(aItem);
+  const RolloutText& text = aStep.mTracker.Text(aItem);
   if (text.mEvents > 0) {
     request.mHeaders.push_back(
         {names.mLastEvent, std::to_string(text.mEvents)});
@@ -119,7 +119,7 @@
   if (aHead.mStatus == kMisdirected || aHead.Find(names.mNotRun) != nullptr) {
     return ItemRunEnd::Refused;
   }
-  if (id == nullptr || *id != aStep.mBook.Item(aItem).mId) {
+  if (id == nullptr || *id != aStep.mTracker.Item(aItem).mId) {
     aWhy = "the answer belongs to another request";
     return ItemRunEnd::Broken;
   }
@@ -132,7 +132,7 @@
 /// \return whether text of this version may be added
 bool VersionFits(const RolloutStep& aStep, const RolloutText& aText,
                  int64_t aVersion) {
-  if (aVersion < aStep.mBook.Spec().mMinVersion) {
+  if (aVersion < aStep.mTracker.Spec().mMinVersion) {
     return false;
   }
   const bool other =
@@ -144,9 +144,9 @@
 /// \return whether its events may be added
 bool TakeVersion(NodeContext& aNode, RolloutStep& aStep, size_t aItem,
                  const Replica& aReplica, int64_t aVersion) {
-  const std::string& model = aStep.mBook.Spec().mModel;
+  const std::string& model = aStep.mTracker.Spec().mModel;
   aNode.mReplicas.Learn(aReplica.mId, model, aVersion);
-  RolloutText& text = aStep.mBook.Text(aItem);
+  RolloutText& text = aStep.mTracker.Text(aItem);
   if (VersionFits(aStep, text, aVersion)) {
     return true;
   }
@@ -181,7 +181,7 @@
                                        size_t aItem, const Replica& aReplica,
                                        HttpStream& aStream, int64_t aVersion,
                                        std::string& aWhy) {
-  RolloutText& text = aStep.mBook.Text(aItem);
+  RolloutText& text = aStep.mTracker.Text(aItem);
   EventIntake intake(aNode, text, aVersion);
   Millis lastAt;
   while (true) {
@@ -245,9 +245,9 @@
                                        version, aWhy);
   aStep.mStreams.erase(aItem);
   aStep.mMoving.erase(aItem);
-  RolloutText& text = aStep.mBook.Text(aItem);
-  const int64_t minVersion = aStep.mBook.Spec().mMinVersion;
-  if (!text.Fits(minVersion, aStep.mRoute.mSingleVersion)) {
+  RolloutText& text = aStep.mTracker.Text(aItem);
+  const int64_t minVersion = aStep.mTracker.Spec().mMinVersion;
+  if (!text.SatisfiesVersions(minVersion, aStep.mRoute.mSingleVersion)) {
     // The weights changed under the stream: none of its text can be used.
     aWhy = "the text is of several versions";
     text = RolloutText();
@@ -265,7 +265,7 @@
 asio::awaitable<bool> LearnFromRun(NodeContext& aNode, RolloutStep& aStep,
                                    size_t aItem, Replica aReplica,
                                    ItemRunEnd aEnd, int64_t aEvents) {
-  const std::string& id = aStep.mBook.Item(aItem).mId;
+  const std::string& id = aStep.mTracker.Item(aItem).mId;
   const bool lived = aEnd == ItemRunEnd::Whole || aEvents >= kBegunEvents;
   if (lived && aNode.mCrashes.AnySuspect()) {
     ClearRequest(aNode, DigestOf(aStep, aItem), id);
--- a/src/librillwall_rollout/rollout_accept.cpp
+++ b/src/librillwall_rollout/rollout_accept.cpp
@@ -210,7 +210,7 @@
 }
 
 void RolloutService::AdoptTexts(RolloutStep& aStep) {
-  const RolloutSpec& spec = aStep.mBook.Spec();
+  const RolloutSpec& spec = aStep.mTracker.Spec();
   CarriedTexts& carried = mCarried[spec.mAccount];
   int64_t used = 0;
   for (size_t i = 0; i < spec.mItems.size(); ++i) {
@@ -218,7 +218,7 @@
     if (found == carried.end()) {
       continue;
     }
-    used += aStep.mBook.Adopt(i, std::move(found->second)) ? 1 : 0;
+    used += aStep.mTracker.Adopt(i, std::move(found->second)) ? 1 : 0;
     carried.erase(found);
   }
   if (used > 0) {
@@ -240,7 +240,7 @@
   step->mRevision = aRevision;
   step->mAccepted = true;
   step->mVerifiedAt = mNode.Now();
-  const RolloutSpec& spec = step->mBook.Spec();
+  const RolloutSpec& spec = step->mTracker.Spec();
   Event("step-accepted")
       .Id(id)
       .Number("step", spec.mStep)
--- a/src/librillwall_rollout/rollout_listing.cpp
+++ b/src/librillwall_rollout/rollout_listing.cpp
@@ -33,10 +33,10 @@
 constexpr Millis kLongestRetry{400};
 
 ListingState StateOf(const RolloutStep& aStep, Millis aNow) {
-  const RolloutBook& book = aStep.mBook;
+  const RolloutTracker& tracker = aStep.mTracker;
   ListingState state;
-  state.mAllEnded = book.AllEnded();
-  state.mReached = book.TargetReached();
+  state.mAllEnded = tracker.AllEnded();
+  state.mReached = tracker.TargetReached();
   state.mReachedListed = aStep.mReachedListed;
   state.mWaited = aNow - aStep.mGatherFrom.value_or(aNow);
   state.mHasDue = aStep.mDueAt.has_value();
@@ -77,12 +77,12 @@
     return;
   }
   const Millis now = mNode.Now();
-  const bool results = aStep->mBook.HasUnlisted();
+  const bool results = aStep->mTracker.HasUnlisted();
   if (results && !aStep->mGatherFrom) {
     aStep->mGatherFrom = now;
   }
   const bool texts = now - aStep->mWrittenAt >= kKeepEvery &&
-                     aStep->mBook.HasUnkept(kWorthKeeping);
+                     aStep->mTracker.HasUnstored(kWorthKeeping);
   const bool list = results && ListNow(StateOf(*aStep, now));
   if (texts || list) {
     aStep->mFlushing = true;
@@ -95,9 +95,9 @@
   const std::string& id = aStep->Id();
   std::vector<RolloutResult> waiting;
   if (aList) {
-    waiting = aStep->mBook.TakeUnlisted();
+    waiting = aStep->mTracker.TakeUnlisted();
     aStep->mGatherFrom.reset();
-    aStep->mReachedListed = aStep->mBook.TargetReached();
+    aStep->mReachedListed = aStep->mTracker.TargetReached();
   }
   bool first = true;
   while (aStep->mRunning && (first || !waiting.empty())) {
@@ -108,7 +108,7 @@
     change.mGuards.push_back({StepKey(id), aStep->mRevision});
     ResultPage page;
     page.mFirst = static_cast<int64_t>(aStep->mListed.size());
-    page.mTotal = static_cast<int64_t>(aStep->mBook.Total());
+    page.mTotal = static_cast<int64_t>(aStep->mTracker.Total());
     page.mResults = TakePage(waiting);
     if (!page.mResults.empty()) {
       const std::string key = PageKey(id, page.mFirst);
@@ -116,7 +116,7 @@
       change.mPuts.push_back({key, EncodeResultPage(page), 0});
     }
     const std::vector<RolloutPart> parts =
-        aStep->mBook.TakeUnkept(kWorthKeeping, kMaxPartBytes);
+        aStep->mTracker.TakeUnstored(kWorthKeeping, kMaxPartBytes);
     if (!parts.empty()) {
       const std::string key = PartKey(id, aStep->mNextPart++);
       change.mGuards.push_back({key, 0});
@@ -132,12 +132,12 @@
         .Number("results", static_cast<int64_t>(page.mResults.size()))
         .Number("unfinished", static_cast<int64_t>(parts.size()))
         .Number("whole_groups",
-                static_cast<int64_t>(aStep->mBook.WholeGroups()))
+                static_cast<int64_t>(aStep->mTracker.WholeGroups()))
         .Flag("reached", aStep->mReachedListed)
         .Number("store_ms", (mNode.Now() - asked).Count())
         .Write();
     mNode.mMetrics.Measure("page_ms", mNode.Now() - asked);
-    aStep->mBook.Listed(page.mResults);
+    aStep->mTracker.Listed(page.mResults);
     for (RolloutResult& result : page.mResults) {
       aStep->mListed.push_back(std::move(result));
     }
@@ -154,7 +154,7 @@
     return;
   }
   std::vector<RolloutPart> parts =
-      aStep->mBook.TakeUnspooled(kWorthSpooling, kMaxPageBytes);
+      aStep->mTracker.TakeUnspooled(kWorthSpooling, kMaxPageBytes);
   if (parts.empty()) {
     return;
   }
--- a/src/librillwall_rollout/rollout_recovery.cpp
+++ b/src/librillwall_rollout/rollout_recovery.cpp
@@ -277,17 +277,17 @@
   }
   const StepPtr step =
       MakeStep(std::move(*spec), *route, aRecord, done->mRevision);
-  step->mBook.Restore(*listed);
+  step->mTracker.Restore(*listed);
   step->mListed = std::move(*listed);
   step->mNextPart = kept->mNext;
-  const int64_t restored = step->mBook.RestoreTexts(kept->mParts);
-  const int64_t withDisk = step->mBook.RestoreTexts(spooled);
+  const int64_t restored = step->mTracker.RestoreTexts(kept->mParts);
+  const int64_t withDisk = step->mTracker.RestoreTexts(spooled);
   Event("step-taken-over")
       .Id(aId)
       .Text("from", before)
       .Number("revision", done->mRevision)
       .Number("listed", static_cast<int64_t>(step->mListed.size()))
-      .Number("total", static_cast<int64_t>(step->mBook.Total()))
+      .Number("total", static_cast<int64_t>(step->mTracker.Total()))
       .Number("restored_events", restored)
       .Number("with_disk", withDisk)
       .Write();
--- a/src/librillwall_rollout/rollout_run.cpp
+++ b/src/librillwall_rollout/rollout_run.cpp
@@ -108,18 +108,18 @@
 
 const std::string* RolloutService::ServiceOf(const RolloutStep& aStep,
                                              size_t aItem) {
-  const std::string& group = aStep.mBook.Item(aItem).mGroup;
+  const std::string& group = aStep.mTracker.Item(aItem).mGroup;
   return PickService(aStep.mRoute, std::hash<std::string>()(group));
 }
 
 ReplicaWish RolloutService::WishOf(const RolloutStep& aStep) const {
   ReplicaWish wish;
   wish.mZone = mNode.mIdentity.mZone;
-  wish.mModel = aStep.mBook.Spec().mModel;
-  wish.mMinVersion = aStep.mBook.Spec().mMinVersion;
+  wish.mModel = aStep.mTracker.Spec().mModel;
+  wish.mMinVersion = aStep.mTracker.Spec().mMinVersion;
   wish.mWithinSlots = true;
   wish.mRegions = RegionsOf(*mNode.mRoutes.Read(), aStep.mRoute,
-                            aStep.mBook.Spec().mAccount);
+                            aStep.mTracker.Spec().mAccount);
   return wish;
 }
 
@@ -157,21 +157,21 @@
   if (!aStep->mRunning || !MayStart(*aStep)) {
     return false;
   }
-  const std::optional<RolloutPick> pick = aStep->mBook.Next();
+  const std::optional<RolloutPick> pick = aStep->mTracker.Next();
   if (!pick) {
     return false;
   }
-  if (aStep->mBook.Text(pick->mItem).mWhole) {
+  if (aStep->mTracker.Text(pick->mItem).mWhole) {
     // Carried over whole, but without its score.
-    aStep->mBook.Started(pick->mItem, std::string());
+    aStep->mTracker.Started(pick->mItem, std::string());
     Launch(mNode.mIo, "score", ScoreItem(aStep, pick->mItem));
     return true;
   }
   if (ItemHeld(mNode, *aStep, pick->mItem)) {
     // The rest of the step goes on without it.
-    aStep->mBook.SetAside(pick->mItem);
+    aStep->mTracker.Defer(pick->mItem);
     Event("item-held")
-        .Id(aStep->mBook.Item(pick->mItem).mId)
+        .Id(aStep->mTracker.Item(pick->mItem).mId)
         .Text("step", aStep->Id())
         .Write();
     return true;
@@ -180,7 +180,7 @@
   if (!replica) {
     return false;
   }
-  aStep->mBook.Started(pick->mItem, *replica);
+  aStep->mTracker.Started(pick->mItem, *replica);
   const Replica entry = *mNode.mReplicas.Find(*replica);
   Launch(mNode.mIo, "item", RunItem(aStep, pick->mItem, entry));
   return true;
@@ -188,23 +188,23 @@
 
 asio::awaitable<void> RolloutService::RunItem(StepPtr aStep, size_t aItem,
                                               Replica aReplica) {
-  ReplicaUse use(mNode, aReplica.mId, aStep->mBook.Spec().mModel);
-  RolloutBook& book = aStep->mBook;
-  const int64_t before = book.Text(aItem).mEvents;
+  ReplicaUse use(mNode, aReplica.mId, aStep->mTracker.Spec().mModel);
+  RolloutTracker& tracker = aStep->mTracker;
+  const int64_t before = tracker.Text(aItem).mEvents;
   std::string why;
   const ItemRunEnd end =
       co_await GenerateText(mNode, *aStep, aItem, aReplica, why);
   use.End(OutcomeOf(end), true);
-  const int64_t events = book.Text(aItem).mEvents - before;
+  const int64_t events = tracker.Text(aItem).mEvents - before;
   const bool replicaEnded =
       co_await LearnFromRun(mNode, *aStep, aItem, aReplica, end, events);
   Event("item-run")
-      .Id(book.Item(aItem).mId)
+      .Id(tracker.Item(aItem).mId)
       .Text("step", aStep->Id())
       .Text("replica", aReplica.mId)
       .Text("end", EndName(end))
       .Number("from_event", before)
-      .Number("events", book.Text(aItem).mEvents)
+      .Number("events", tracker.Text(aItem).mEvents)
       .Number("took_ms", (mNode.Now() - use.Started()).Count())
       .Text("why", why)
       .Flag("replica_ended", replicaEnded)
@@ -215,13 +215,14 @@
     co_return;
   }
   if (end == ItemRunEnd::Whole) {
-    mLengths.Learn(book.Item(aItem).mLengthHint, book.Text(aItem).mEvents);
+    mLengths.Learn(tracker.Item(aItem).mLengthHint,
+                   tracker.Text(aItem).mEvents);
     Pump();
     co_await ScoreItem(aStep, aItem);
   } else if (end == ItemRunEnd::Impossible) {
-    book.Impossible(aItem);
+    tracker.Impossible(aItem);
   } else {
-    book.Interrupted(aItem, end == ItemRunEnd::Failed);
+    tracker.Interrupted(aItem, end == ItemRunEnd::Failed);
   }
   ScheduleFlush(aStep);
   Pump();
@@ -229,7 +230,7 @@
 
 void RolloutService::MoveFromSlow(const StepPtr& aStep) {
   const Millis now = mNode.Now();
-  RolloutBook& book = aStep->mBook;
+  RolloutTracker& tracker = aStep->mTracker;
   std::vector<RunningText> texts;
   for (const auto& [item, stream] : aStep->mStreams) {
     const auto last = aStep->mMovedAt.find(item);
@@ -238,9 +239,9 @@
     }
     const std::string* service = ServiceOf(*aStep, item);
     if (service != nullptr) {
-      texts.push_back({item, *service, book.ReplicaOf(item),
-                       book.Text(item).mEvents,
-                       mLengths.Events(book.Item(item).mLengthHint)});
+      texts.push_back({item, *service, tracker.ReplicaOf(item),
+                       tracker.Text(item).mEvents,
+                       mLengths.Events(tracker.Item(item).mLengthHint)});
     }
   }
   const std::vector<PlannedMove> moves =
@@ -253,8 +254,8 @@
 }
 
 asio::awaitable<void> RolloutService::ScoreItem(StepPtr aStep, size_t aItem) {
-  RolloutBook& book = aStep->mBook;
-  const std::optional<ScorerCall>& scorer = book.Item(aItem).mScorer;
+  RolloutTracker& tracker = aStep->mTracker;
+  const std::optional<ScorerCall>& scorer = tracker.Item(aItem).mScorer;
   int failures = 0;
   while (aStep->mRunning && scorer) {
     const auto routes = mNode.mRoutes.Read();
@@ -275,7 +276,7 @@
     call.mRequest.mHeaders.push_back({"Host", scorer->mHost});
     call.mRequest.mHeaders.push_back({mNode.mHeaders.mRequestId, scorer->mId});
     call.mService = *service;
-    call.mRegions = RegionsOf(*routes, *route, aStep->mBook.Spec().mAccount);
+    call.mRegions = RegionsOf(*routes, *route, aStep->mTracker.Spec().mAccount);
     call.mKind = RequestKind::Idempotent;
     call.mDue = mNode.Now() +
                 std::max(kScorerLimit, route->mTargetLatency * kScorerTargets);
@@ -286,7 +287,7 @@
     const std::string* signature =
         answer ? answer->mHead.Find(mNode.mHeaders.mSignature) : nullptr;
     if (status / 100 == 2 && signature != nullptr) {
-      book.Text(aItem).mScore = *signature;
+      tracker.Text(aItem).mScore = *signature;
       break;
     }
     if (!answer && answer.error().RetryAfter() > kHeldPause) {
@@ -296,19 +297,19 @@
     failures += status == kServerError ? 1 : 0;
     if (failures >= most) {
       Event("item-terminated")
-          .Id(book.Item(aItem).mId)
+          .Id(tracker.Item(aItem).mId)
           .Text("step", aStep->Id())
           .Text("why", "its scorer failed")
           .Number("failures", failures)
           .Write();
-      book.Impossible(aItem);
+      tracker.Impossible(aItem);
       ScheduleFlush(aStep);
       co_return;
     }
     co_await Sleep(mNode.mIo, kScorerPause);
   }
   if (aStep->mRunning) {
-    book.Finished(aItem);
+    tracker.Finished(aItem);
     ScheduleFlush(aStep);
   }
 }
--- a/src/librillwall_rollout/rollout_service.cpp
+++ b/src/librillwall_rollout/rollout_service.cpp
@@ -78,13 +78,14 @@
                                                  const Route& aRoute,
                                                  StepRecord aRecord,
                                                  int64_t aRevision) {
-  RolloutBook book(std::move(aSpec), aRoute.mAttempts, aRoute.mSingleVersion);
-  const std::string id = book.Spec().mId;
+  RolloutTracker tracker(std::move(aSpec), aRoute.mAttempts,
+                         aRoute.mSingleVersion);
+  const std::string id = tracker.Spec().mId;
   const Millis wait =
       aRoute.mMaxWait > Millis(0) ? aRoute.mMaxWait : kDefaultMaxWait;
   const Millis age(std::max<int64_t>(0, WallClockMs() - aRecord.mAcceptedMs));
-  auto step = std::make_shared<RolloutStep>(mNode.mIo, std::move(book), aRoute,
-                                            std::move(aRecord), aRevision);
+  auto step = std::make_shared<RolloutStep>(
+      mNode.mIo, std::move(tracker), aRoute, std::move(aRecord), aRevision);
   step->mGiveUpAt = mNode.Now() + wait - age;
   if (aRoute.mDueIn > Millis(0)) {
     step->mDueAt = mNode.Now() + aRoute.mDueIn - age;
@@ -93,7 +94,7 @@
   mSteps[id] = step;
   mPlaces.erase(id);
   if (mOnStep) {
-    mOnStep(step->mBook.Spec(), WorkOf(step->mBook.Spec()));
+    mOnStep(step->mTracker.Spec(), WorkOf(step->mTracker.Spec()));
   }
   return step;
 }
@@ -191,7 +192,7 @@
       co_return *unsure;
     }
   }
-  const auto total = static_cast<int64_t>(step->mBook.Total());
+  const auto total = static_cast<int64_t>(step->mTracker.Total());
   co_return ReadFrom(step->mListed, 0, total, aAfter);
 }
 
@@ -201,9 +202,9 @@
   if (found == mSteps.end()) {
     return std::nullopt;
   }
-  const RolloutBook& book = found->second->mBook;
-  const std::optional<size_t> index = book.IndexOf(aItem);
-  return index ? std::optional(book.Item(*index).mBody) : std::nullopt;
+  const RolloutTracker& tracker = found->second->mTracker;
+  const std::optional<size_t> index = tracker.IndexOf(aItem);
+  return index ? std::optional(tracker.Item(*index).mBody) : std::nullopt;
 }
 
 void RolloutService::StopRuns(RolloutStep& aStep) {
@@ -226,11 +227,11 @@
 }
 
 void RolloutService::Carry(const RolloutStep& aStep) {
-  CarriedTexts& carried = mCarried[aStep.mBook.Spec().mAccount];
+  CarriedTexts& carried = mCarried[aStep.mTracker.Spec().mAccount];
   if (carried.size() > kMaxCarried) {
     carried.clear();
   }
-  carried.merge(aStep.mBook.TextsOfOpenGroups());
+  carried.merge(aStep.mTracker.TextsOfOpenGroups());
 }
 
 asio::awaitable<std::optional<Error>> RolloutService::End(std::string aId) {
@@ -279,12 +280,13 @@
   Event("step-ended")
       .Id(aId)
       .Number("listed", static_cast<int64_t>(step->mListed.size()))
-      .Number("total", static_cast<int64_t>(step->mBook.Total()))
-      .Number("whole_groups", static_cast<int64_t>(step->mBook.WholeGroups()))
+      .Number("total", static_cast<int64_t>(step->mTracker.Total()))
+      .Number("whole_groups",
+              static_cast<int64_t>(step->mTracker.WholeGroups()))
       .Write();
   Carry(*step);
   if (!step->mUnsettled) {
-    const auto total = static_cast<int64_t>(step->mBook.Total());
+    const auto total = static_cast<int64_t>(step->mTracker.Total());
     mArchives.Add(aId, 0, total, step->mListed);
   }
   mSteps.erase(aId);
@@ -319,16 +321,16 @@
   const Millis now = mNode.Now();
   bool verify = false;
   for (const StepPtr& step : RunningSteps()) {
-    if (now > step->mGiveUpAt && !step->mBook.AllEnded()) {
+    if (now > step->mGiveUpAt && !step->mTracker.AllEnded()) {
       Event("step-overdue")
           .Id(step->Id())
-          .Number("ended", static_cast<int64_t>(step->mBook.Ended()))
+          .Number("ended", static_cast<int64_t>(step->mTracker.Ended()))
           .Write();
-      step->mBook.GiveUpRest();
+      step->mTracker.TerminateUnfinished();
     }
     verify =
         verify || (step->mAccepted && now - step->mVerifiedAt > kVerifyIdle);
-    step->mBook.PutBack(
+    step->mTracker.RequeueDeferred(
         [&](size_t aItem) { return !ItemHeld(mNode, *step, aItem); });
     ScheduleFlush(step);
     ScheduleSpool(step);
--- a/src/librillwall_rollout/rollout_step.h
+++ b/src/librillwall_rollout/rollout_step.h
@@ -40,9 +40,9 @@
 };
 
 struct RolloutStep {
-  RolloutStep(asio::io_context& aIo, RolloutBook aBook, Route aRoute,
+  RolloutStep(asio::io_context& aIo, RolloutTracker aTracker, Route aRoute,
               StepRecord aRecord, int64_t aRevision)
-      : mBook(std::move(aBook)),
+      : mTracker(std::move(aTracker)),
         mRoute(std::move(aRoute)),
         mRecord(std::move(aRecord)),
         mRevision(aRevision),
@@ -50,11 +50,11 @@
     mChanged.expires_at(asio::steady_timer::time_point::max());
   }
 
-  const std::string& Id() const { return mBook.Spec().mId; }
+  const std::string& Id() const { return mTracker.Spec().mId; }
   /// Wakes everybody who waits for a result.
   void Notify() { mChanged.cancel(); }
 
-  RolloutBook mBook;
+  RolloutTracker mTracker;
   const Route mRoute;
   StepRecord mRecord;
   int64_t mRevision;                   ///< of the record; guards every append
--- a/src/rillwall/charge_runner.cpp
+++ b/src/rillwall/charge_runner.cpp
@@ -71,10 +71,10 @@
   auto running = std::make_shared<Running>(std::move(aCall), key,
                                            MakeNonce(mNode.Settings().mNodeId));
   ClaimStep step = running->mClaim.Start();
-  while (!running->mClaim.Outcome() && step.mNext != ClaimNext::End) {
+  while (!running->mClaim.Outcome() && step.mNext != ClaimAction::End) {
     step = co_await CarryOut(*running, step);
   }
-  if (step.mNext != ClaimNext::End) {
+  if (step.mNext != ClaimAction::End) {
     // The caller need not wait until the outcome is on record.
     mNode.Spawn(CarryOutRest(running, step));
   }
@@ -83,7 +83,7 @@
 
 asio::awaitable<void> ChargeRunner::CarryOutRest(
     std::shared_ptr<Running> aRunning, ClaimStep aStep) {
-  while (aStep.mNext != ClaimNext::End) {
+  while (aStep.mNext != ClaimAction::End) {
     aStep = co_await CarryOut(*aRunning, aStep);
   }
   if (aRunning->mClaim.LeftBehind()) {
@@ -99,15 +99,15 @@
     co_await Node::Sleep(aStep.mPause);
   }
   switch (aStep.mNext) {
-    case ClaimNext::Create:
+    case ClaimAction::Create:
       co_return co_await Create(aRunning, aStep);
-    case ClaimNext::Read:
+    case ClaimAction::Read:
       co_return co_await Read(aRunning);
-    case ClaimNext::Run:
+    case ClaimAction::Run:
       co_return co_await Send(aRunning);
-    case ClaimNext::Record:
+    case ClaimAction::Record:
       co_return co_await Record(aRunning, aStep);
-    case ClaimNext::Remove:
+    case ClaimAction::Remove:
       co_return co_await Remove(aRunning, aStep);
     default:
       co_return aStep;
@@ -192,17 +192,17 @@
   mNode.Meter().Add(Counter::ChecksAtMostOnce);
   HttpResponse response;
   RunState ran = RunState::Run;
-  switch (outcome.mVerdict) {
-    case ClaimVerdict::Answer:
+  switch (outcome.mKind) {
+    case ClaimOutcomeKind::Answer:
       mNode.Meter().Add(Counter::ChargesRun);
       response = ToResponse(outcome.mAnswer);
       break;
-    case ClaimVerdict::Replay:
+    case ClaimOutcomeKind::Replay:
       mNode.Meter().Add(Counter::ChargesReplayed);
       response = ToResponse(outcome.mAnswer);
       response.mHeaders.push_back({"Rillwall-Replayed", "1"});
       break;
-    case ClaimVerdict::Refuse:
+    case ClaimOutcomeKind::Refuse:
       ran = outcome.mError.Run();
       mNode.Meter().Add(ran == RunState::NotRun ? Counter::ChargesRefused
                                                 : Counter::ChargesUnknown);
--- a/src/rillwall/step_owner.cpp
+++ b/src/rillwall/step_owner.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Millis kTick{50};
-constexpr Millis kRoomPeriod{200};
+constexpr Millis kCapacityPeriod{200};
 constexpr Millis kAskTimeout{1000};
 constexpr Millis kGroupTimeout{900000};
 constexpr Millis kFollowPeriod{2000};
@@ -28,8 +28,8 @@
 void StepOwner::Start() {
   mGossip.OnMember([this](const Member& aMember) {
     if (aMember.mState == MemberState::Dead) {
-      for (auto& [id, step] : mBooks) {
-        step.mBook->RunnerLost(aMember.mId, mNode.Now());
+      for (auto& [id, step] : mOwnedSteps) {
+        step.mTracker->RunnerLost(aMember.mId, mNode.Now());
       }
     }
     ReviewDuties();
@@ -73,15 +73,15 @@
 
 void StepOwner::TakeUp(const StepSpec& aSpec, bool aRebuilding) {
   const TrainerRule* rule = Rule(aSpec.mId.mTrainer);
-  if (rule == nullptr || mBooks.contains(aSpec.mId)) {
+  if (rule == nullptr || mOwnedSteps.contains(aSpec.mId)) {
     return;
   }
   OwnedStep step;
-  step.mBook =
-      std::make_unique<StepBook>(aSpec, *rule, aRebuilding, mNode.Now());
+  step.mTracker =
+      std::make_unique<StepTracker>(aSpec, *rule, aRebuilding, mNode.Now());
   step.mChanged = std::make_shared<asio::steady_timer>(mNode.Control());
   step.mChanged->expires_at(asio::steady_timer::time_point::max());
-  mBooks[aSpec.mId] = std::move(step);
+  mOwnedSteps[aSpec.mId] = std::move(step);
   if (aRebuilding) {
     mNode.Meter().Add(Counter::Takeovers);
     Log(Part::Step).Info("Takes over " + aSpec.mId.Duty() + ".");
@@ -92,19 +92,19 @@
 // After a change of membership: give up steps that others own now, take up
 // those whose owner has gone.
 void StepOwner::ReviewDuties() {
-  for (auto it = mBooks.begin(); it != mBooks.end();) {
+  for (auto it = mOwnedSteps.begin(); it != mOwnedSteps.end();) {
     if (IsOwner(it->first)) {
       ++it;
       continue;
     }
     Log(Part::Step).Info("Gives up " + it->first.Duty() + ".");
     // The new owner may have joined after the step was opened.
-    mNode.SpawnControl(Replicate(it->second.mBook->Spec()));
+    mNode.SpawnControl(Replicate(it->second.mTracker->Spec()));
     Wake(it->second);
-    it = mBooks.erase(it);
+    it = mOwnedSteps.erase(it);
   }
   for (const auto& [id, spec] : mSpecs) {
-    if (IsOwner(id) && !mBooks.contains(id)) {
+    if (IsOwner(id) && !mOwnedSteps.contains(id)) {
       TakeUp(spec, true);
     }
   }
@@ -144,11 +144,11 @@
   co_return inventories;
 }
 
-void StepOwner::TakeIn(StepBook& aBook,
+void StepOwner::TakeIn(StepTracker& aTracker,
                        const std::vector<NodeInventory>& aInventories) {
   for (const NodeInventory& inventory : aInventories) {
-    aBook.Inventory(inventory.mNode, inventory.mHeld, inventory.mRunning,
-                    mNode.Now());
+    aTracker.Inventory(inventory.mNode, inventory.mHeld, inventory.mRunning,
+                       mNode.Now());
   }
 }
 
@@ -159,20 +159,21 @@
   });
   const std::vector<NodeInventory> inventories =
       co_await AskInventories(aStep, std::move(members));
-  const auto found = mBooks.find(aStep);
-  if (found == mBooks.end()) {
+  const auto found = mOwnedSteps.find(aStep);
+  if (found == mOwnedSteps.end()) {
     co_return;
   }
-  TakeIn(*found->second.mBook, inventories);
-  found->second.mBook->Rebuilt(mNode.Now());
+  TakeIn(*found->second.mTracker, inventories);
+  found->second.mTracker->Rebuilt(mNode.Now());
   Wake(found->second);
 }
 
 // Groups that were running at a takeover answer the old owner; their runners
 // are asked until they have finished.
 asio::awaitable<void> StepOwner::FollowRunners(StepId aStep) {
-  const auto book = mBooks.find(aStep);
-  const std::vector<std::string> wanted = book->second.mBook->RunnersToAsk();
+  const auto tracker = mOwnedSteps.find(aStep);
+  const std::vector<std::string> wanted =
+      tracker->second.mTracker->RunnersToAsk();
   std::vector<Member> members = mNode.Members().All();
   std::erase_if(members, [&wanted](const Member& aMember) {
     return std::ranges::find(wanted, aMember.mId) == wanted.end();
@@ -182,16 +183,16 @@
   }
   const std::vector<NodeInventory> inventories =
       co_await AskInventories(aStep, std::move(members));
-  const auto found = mBooks.find(aStep);
-  if (found != mBooks.end()) {
-    TakeIn(*found->second.mBook, inventories);
+  const auto found = mOwnedSteps.find(aStep);
+  if (found != mOwnedSteps.end()) {
+    TakeIn(*found->second.mTracker, inventories);
     Wake(found->second);
   }
 }
 
 void StepOwner::HandedOver(const wire::HandOver& aHandOver) {
-  const auto found = mBooks.find(FromWire(aHandOver.id()).value());
-  if (found == mBooks.end()) {
+  const auto found = mOwnedSteps.find(FromWire(aHandOver.id()).value());
+  if (found == mOwnedSteps.end()) {
     return;
   }
   NodeInventory inventory;
@@ -207,14 +208,15 @@
       summary.mTokens +=
           sample.label().empty() ? 0 : sample.label().rbegin()->end();
     }
-    CarryOut(found->first, found->second.mBook->Finished(summary, mNode.Now()));
+    CarryOut(found->first,
+             found->second.mTracker->Finished(summary, mNode.Now()));
   }
   Wake(found->second);
 }
 
 asio::awaitable<void> StepOwner::TickLoop() {
   while (true) {
-    for (auto& [id, step] : mBooks) {
+    for (auto& [id, step] : mOwnedSteps) {
       TickStep(id, step);
     }
     co_await Node::Sleep(kTick);
@@ -224,12 +226,12 @@
 void StepOwner::TickStep(const StepId& aId, OwnedStep& aStep) {
   const TrainerRule* rule = Rule(aId.mTrainer);
   if (rule != nullptr) {
-    aStep.mBook->SetRule(*rule);
+    aStep.mTracker->SetRule(*rule);
   }
-  const bool due = mNode.Now() - aStep.mRoomsAt >= kRoomPeriod;
+  const bool due = mNode.Now() - aStep.mCapacitiesAt >= kCapacityPeriod;
   if (due && !aStep.mAsking) {
     aStep.mAsking = true;
-    mNode.SpawnControl(AskRooms(aId));
+    mNode.SpawnControl(AskCapacities(aId));
   }
   if (mNode.Now() - aStep.mFollowedAt >= kFollowPeriod) {
     aStep.mFollowedAt = mNode.Now();
@@ -237,17 +239,17 @@
   }
   const int64_t newest = NewestVersion(aId.mTrainer);
   const StepActions actions =
-      aStep.mBook->Tick(aStep.mRooms, newest, mNode.Now());
+      aStep.mTracker->Tick(aStep.mCapacities, newest, mNode.Now());
   // Room is used up by what was ordered, until it is asked for again.
   for (const GroupOrder& order : actions.mRun) {
-    for (RunnerRoom& room : aStep.mRooms) {
-      room.mRoom -= room.mNode == order.mRunner ? 1 : 0;
+    for (RunnerCapacity& room : aStep.mCapacities) {
+      room.mCapacity -= room.mNode == order.mRunner ? 1 : 0;
     }
   }
   CarryOut(aId, actions);
 }
 
-asio::awaitable<void> StepOwner::AskRooms(StepId aStep) {
+asio::awaitable<void> StepOwner::AskCapacities(StepId aStep) {
   const std::vector<Member> runners = Runners(aStep);
   std::vector<asio::awaitable<Result<wire::PeerReply>>> asks;
   for (const Member& member : runners) {
@@ -258,20 +260,20 @@
   }
   const std::vector<Result<wire::PeerReply>> replies =
       co_await RunAll(mNode.Control(), std::move(asks));
-  const auto found = mBooks.find(aStep);
-  if (found == mBooks.end()) {
+  const auto found = mOwnedSteps.find(aStep);
+  if (found == mOwnedSteps.end()) {
     co_return;
   }
   OwnedStep& step = found->second;
-  step.mRooms.clear();
+  step.mCapacities.clear();
   for (size_t i = 0; i < replies.size(); ++i) {
     if (replies[i]) {
-      const int64_t size = step.mBook->Spec().mGroupSize;
+      const int64_t size = step.mTracker->Spec().mGroupSize;
       const int64_t samples = replies[i]->room().samples();
-      step.mRooms.push_back({runners[i].mId, (samples + size - 1) / size});
+      step.mCapacities.push_back({runners[i].mId, (samples + size - 1) / size});
     }
   }
-  step.mRoomsAt = mNode.Now();
+  step.mCapacitiesAt = mNode.Now();
   step.mAsking = false;
 }
 
@@ -325,21 +327,21 @@
   run.set_min_version(bound < 0 ? 0 : std::max<int64_t>(0, newest - bound));
   const Result<wire::PeerReply> reply = co_await mNode.CallPeer(
       aOrder.mRunner, RpcOf(aOrder.mRunner), std::move(request), kGroupTimeout);
-  const auto found = mBooks.find(aStep);
-  if (found == mBooks.end()) {
+  const auto found = mOwnedSteps.find(aStep);
+  if (found == mOwnedSteps.end()) {
     co_return;
   }
-  StepBook& book = *found->second.mBook;
+  StepTracker& tracker = *found->second.mTracker;
   const Result<GroupSummary> summary =
       reply ? FromWire(reply->finished(), aOrder.mRunner) : reply.error();
   if (!summary) {
     Log(Part::Step)
         .Info("Group " + std::to_string(aOrder.mGroup) + " of " + aStep.Duty() +
               " failed on " + aOrder.mRunner + ": " + summary.error().Detail());
-    book.Failed(aOrder.mGroup, aOrder.mRunner, aOrder.mAttempt, mNode.Now());
+    tracker.Failed(aOrder.mGroup, aOrder.mRunner, aOrder.mAttempt, mNode.Now());
     co_return;
   }
-  CarryOut(aStep, book.Finished(*summary, mNode.Now()));
+  CarryOut(aStep, tracker.Finished(*summary, mNode.Now()));
   Wake(found->second);
 }
 
@@ -389,7 +391,7 @@
     }
     co_return State(spec.mId);
   }
-  if (!mBooks.contains(spec.mId)) {
+  if (!mOwnedSteps.contains(spec.mId)) {
     co_await Replicate(spec);
     // Opened again after an owner was lost: others may hold some groups. A
     // step that nobody knows anything of begins at once.
@@ -413,20 +415,20 @@
   state.set_known(true);
   state.set_groups(spec->second.mPrompts.size());
   state.set_digest(spec->second.Digest());
-  const auto owned = mBooks.find(aId);
-  if (owned != mBooks.end()) {
-    const StepBook& book = *owned->second.mBook;
-    state.set_delivered(book.Delivered());
-    state.set_held(book.Held());
-    state.set_running(book.Running());
-    state.set_waiting(book.Waiting());
+  const auto owned = mOwnedSteps.find(aId);
+  if (owned != mOwnedSteps.end()) {
+    const StepTracker& tracker = *owned->second.mTracker;
+    state.set_delivered(tracker.Delivered());
+    state.set_held(tracker.Held());
+    state.set_running(tracker.Running());
+    state.set_waiting(tracker.Waiting());
   }
   return state;
 }
 
 Result<StepOwner::OwnedStep*> StepOwner::Owned(const StepId& aId) {
-  const auto found = mBooks.find(aId);
-  if (found != mBooks.end()) {
+  const auto found = mOwnedSteps.find(aId);
+  if (found != mOwnedSteps.end()) {
     return &found->second;
   }
   if (!IsOwner(aId)) {
@@ -435,8 +437,8 @@
   const auto spec = mSpecs.find(aId);
   if (spec != mSpecs.end()) {
     TakeUp(spec->second, true);
-    const auto taken = mBooks.find(aId);
-    if (taken != mBooks.end()) {
+    const auto taken = mOwnedSteps.find(aId);
+    if (taken != mOwnedSteps.end()) {
       return &taken->second;
     }
   }
@@ -452,7 +454,7 @@
   if (!step) {
     co_return step.error();
   }
-  const size_t groups = (*step)->mBook->Spec().mPrompts.size();
+  const size_t groups = (*step)->mTracker->Spec().mPrompts.size();
   const Result<Receipt> receipt = Receipt::Parse(aPull.receipt(), id, groups);
   if (!receipt) {
     co_return receipt.error();
@@ -460,8 +462,8 @@
   const uint64_t pull = ++(*step)->mPull;
   Wake(**step);
   for (const wire::HeldGroup& lost : aPull.lost()) {
-    (*step)->mBook->Failed(lost.group(), lost.runner(), lost.attempt(),
-                           mNode.Now());
+    (*step)->mTracker->Failed(lost.group(), lost.runner(), lost.attempt(),
+                              mNode.Now());
   }
   const size_t most =
       std::clamp<uint32_t>(aPull.max_groups(), 1, kMaxGroupsPerPull);
@@ -481,7 +483,7 @@
         std::max(NewestVersion(id.mTrainer), aPull.newest_version());
     StepActions actions;
     const PullPlan plan =
-        (*step)->mBook->Plan(*receipt, newest, most, mNode.Now(), actions);
+        (*step)->mTracker->Plan(*receipt, newest, most, mNode.Now(), actions);
     CarryOut(id, actions);
     const bool done = !plan.mGroups.empty() || plan.mComplete;
     if (done || mNode.Now() >= end) {
@@ -509,10 +511,10 @@
 asio::awaitable<Result<wire::StepState>> StepOwner::Close(StepId aStep) {
   const wire::StepState state = State(aStep);
   mSpecs.erase(aStep);
-  const auto found = mBooks.find(aStep);
-  if (found != mBooks.end()) {
+  const auto found = mOwnedSteps.find(aStep);
+  if (found != mOwnedSteps.end()) {
     Wake(found->second);
-    mBooks.erase(found);
+    mOwnedSteps.erase(found);
   }
   co_return state;
 }
@@ -527,9 +529,9 @@
 
 std::string StepOwner::Dump() const {
   std::string text = "[";
-  for (const auto& [id, step] : mBooks) {
+  for (const auto& [id, step] : mOwnedSteps) {
     text += text.size() > 1 ? "," : "";
-    text += step.mBook->Dump();
+    text += step.mTracker->Dump();
   }
   return text + "]";
 }
--- a/src/rillwall/step_owner.h
+++ b/src/rillwall/step_owner.h
@@ -38,18 +38,18 @@
   wire::StepState State(const StepId& aId) const;
   /// This node took over held groups of a step that it may own.
   void HandedOver(const wire::HandOver& aHandOver);
-  size_t OpenSteps() const { return mBooks.size(); }
+  size_t OpenSteps() const { return mOwnedSteps.size(); }
   /// \return books as JSON array text, for the dump; on the control strand
   std::string Dump() const;
 
  private:
   /// A step that this node owns now.
   struct OwnedStep {
-    std::unique_ptr<StepBook> mBook;
+    std::unique_ptr<StepTracker> mTracker;
     uint64_t mPull = 0;  ///< number of the newest pull
     std::shared_ptr<asio::steady_timer> mChanged;  ///< wakes waiting pulls
-    std::vector<RunnerRoom> mRooms;
-    Millis mRoomsAt;
+    std::vector<RunnerCapacity> mCapacities;
+    Millis mCapacitiesAt;
     Millis mFollowedAt;  ///< when runners of an earlier owner were asked
     bool mAsking = false;
   };
@@ -65,8 +65,9 @@
       StepId aStep, std::vector<Member> aMembers);
   asio::awaitable<void> Rebuild(StepId aStep);
   asio::awaitable<void> FollowRunners(StepId aStep);
-  void TakeIn(StepBook& aBook, const std::vector<NodeInventory>& aInventories);
-  asio::awaitable<void> AskRooms(StepId aStep);
+  void TakeIn(StepTracker& aTracker,
+              const std::vector<NodeInventory>& aInventories);
+  asio::awaitable<void> AskCapacities(StepId aStep);
   asio::awaitable<void> RunOne(StepId aStep, GroupOrder aOrder);
   asio::awaitable<void> Tell(std::string aNode, wire::PeerRequest aRequest);
   asio::awaitable<void> Replicate(StepSpec aSpec);
@@ -84,7 +85,7 @@
   Node& mNode;
   GossipLoop& mGossip;
   std::map<StepId, StepSpec> mSpecs;  ///< known here, owned or not
-  std::map<StepId, OwnedStep> mBooks;
+  std::map<StepId, OwnedStep> mOwnedSteps;
 };
 
 }  // namespace rillwall
--- a/src/rillwall/trainer_api.cpp
+++ b/src/rillwall/trainer_api.cpp
@@ -324,8 +324,9 @@
   const TrainerRule* rule = policies->Rules().Trainer(aPull.mId.mTrainer);
   mNode.Meter().Add(Counter::ChecksStaleness);
   const bool fresh =
-      rule != nullptr && WithinBound(rule->mStaleness, aGroup.oldest_version(),
-                                     aNewest, Millis(aGroup.age_ms()));
+      rule != nullptr &&
+      WithinStalenessBound(rule->mStaleness, aGroup.oldest_version(), aNewest,
+                           Millis(aGroup.age_ms()));
   if (!fresh) {
     mNode.Meter().Add(Counter::SamplesStaleDropped, aGroup.samples_size());
   }
--- a/src/rillwall/weight_controller.cpp
+++ b/src/rillwall/weight_controller.cpp
@@ -257,7 +257,7 @@
     SwapEngine swap;
     swap.mId = engine.mId;
     swap.mLeaving = mUpstreams.IsLeaving(engine);
-    swap.mDuty = mDuties.contains(engine.mId);
+    swap.mIsController = mDuties.contains(engine.mId);
     const auto fence = mFences.find(engine.mId);
     if (fence != mFences.end()) {
       swap.mFence = fence->second;
