--- a/src/include/rillwall/claim.h
+++ b/src/include/rillwall/claim.h
@@ -1,18 +1,20 @@
 /// \file
-/// The protocol by which a non-idempotent call runs at most once.
+/// The protocol that runs a non-idempotent call at most once.
 ///
-/// Before the first byte goes to an upstream, a claim for (house, service, key)
-/// is created in the key-value service by compare-and-swap. Only the creator of
-/// the claim, known by its nonce, runs the call, and a claim is removed only by
-/// its creator and only if nothing was sent. So whatever answers of the
-/// key-value service are lost, late or repeated, the call runs at most once.
-/// The outcome is then written into the claim, for repeats to be answered with.
+/// Before the first byte is sent to an upstream, a claim for (house, service,
+/// key) is created in the key-value service by compare-and-swap. Only the
+/// creator of the claim, identified by its nonce, runs the call. Only the
+/// creator removes the claim, and only if nothing was sent. The call therefore
+/// runs at most once even if responses of the key-value service are lost, late
+/// or duplicated. The outcome is then recorded in the claim, and repeated calls
+/// are answered from that record.
 ///
-/// A claim may outlive a call that was not run: when the key-value service did
-/// not answer, or the node died. The key is then blocked (outcome-unknown); the
-/// caller looks into the upstream's records and uses another key.
+/// A claim can outlive a call that was not run, if the key-value service did
+/// not respond or the node died. The key is then blocked (outcome-unknown): the
+/// caller has to check the upstream's records and use another key.
 ///
-/// Sans-IO: a ClaimCall is told what happened and says what to do next.
+/// The code performs no I/O: the owner of a ClaimCall reports events to it and
+/// carries out the actions that it returns.
 
 #pragma once
 
@@ -28,140 +30,152 @@
 
 namespace rillwall {
 
-/// What a claim is for.
+/// Identifies the call that a claim is for.
 struct ClaimKey {
   std::string mHouse;
   std::string mService;
-  std::string mKey;  ///< the caller's Idempotency-Key
+  std::string mKey;  ///< value of the caller's Idempotency-Key header
 
-  /// \return the name of the claim's entry, "claim/<house>/<service>/<key>"
-  /// with each part percent-encoded
+  /// \return the key of the claim's entry in the key-value service,
+  /// "claim/<house>/<service>/<key>" with each part percent-encoded
   std::string Path() const;
-  // clang-tidy 14 takes the 0 of a rewritten comparison for a null pointer.
+  // clang-tidy 14 mistakes the 0 of a rewritten comparison for a null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   auto operator<=>(const ClaimKey&) const = default;
 };
 
-/// A header of a recorded answer.
+/// A header of a recorded response.
 struct ClaimHeader {
   std::string mName;
   std::string mValue;
   bool operator==(const ClaimHeader&) const = default;
 };
 
-/// An upstream's whole answer, as recorded and repeated.
+/// A complete response of an upstream, as recorded and replayed.
 struct ClaimAnswer {
   int mStatus = 0;
   std::vector<ClaimHeader> mHeaders;
   std::string mBody;
-  bool mBodyLeftOut = false;  ///< it was too large to be recorded
+  bool mBodyOmitted = false;  ///< the body was too large to be recorded
   bool operator==(const ClaimAnswer&) const = default;
 };
 
+/// Whether the outcome of the claimed call is recorded.
 enum class ClaimState { Claimed, Done };
 
-/// A claim as it stands in the key-value service.
+/// A claim as stored in the key-value service.
 struct ClaimRecord {
   ClaimKey mKey;
-  std::string mNonce;   ///< of the call that created it
-  std::string mDigest;  ///< of the request
+  std::string mNonce;   ///< nonce of the call that created the claim
+  std::string mDigest;  ///< digest of the request
   ClaimState mState = ClaimState::Claimed;
-  ClaimAnswer mAnswer;  ///< if Done
+  ClaimAnswer mAnswer;  ///< set if mState is Done
   bool operator==(const ClaimRecord&) const = default;
 };
 
 /// \return the record as JSON text
 std::string EncodeClaim(const ClaimRecord& aRecord);
-/// \return the record, or Internal for anything not made by EncodeClaim
+/// \return the record, or an Internal error if EncodeClaim did not make the
+/// text
 Result<ClaimRecord> DecodeClaim(std::string_view aText);
 
-/// \return SHA-256 of a request, hex
+/// \return the SHA-256 digest of a request, in hexadecimal
 std::string RequestDigest(std::string_view aMethod, std::string_view aTarget,
                           std::string_view aBody);
-/// \return whether a header of an answer is recorded
+/// \return whether a response header is recorded in the claim
 bool IsRecordedHeader(std::string_view aName);
-/// Checks a caller's key: 1 to 255 visible ASCII characters.
-/// \return BadRequest with the remedy, or nothing
+/// Checks that a caller's key consists of 1 to 255 visible ASCII characters.
+/// \return a BadRequest error that names the remedy, or nothing if the key is
+/// valid
 std::optional<Error> CheckIdempotencyKey(std::string_view aKey);
 
-/// What the owner of a ClaimCall does next.
+/// The next action for the owner of a ClaimCall.
 enum class ClaimAction {
   Create,  ///< compare-and-swap the entry from absent to mValue
   Read,    ///< read the entry
   Run,     ///< send the call to the upstream
   Record,  ///< compare-and-swap the entry from mRevision to mValue
   Remove,  ///< compare-and-delete the entry at mRevision
-  End,     ///< nothing more
+  End,     ///< the call has ended; no action follows
 };
 
+/// An action with its parameters.
 struct ClaimStep {
   ClaimAction mNext = ClaimAction::End;
-  Millis mPause;          ///< wait this long first
-  int64_t mRevision = 0;  ///< for Record and Remove
-  std::string mValue;     ///< for Create and Record
+  Millis mPause;          ///< delay before the action
+  int64_t mRevision = 0;  ///< expected revision; for Record and Remove
+  std::string mValue;     ///< entry to write; for Create and Record
 };
 
+/// The kind of response that the caller receives.
 enum class ClaimOutcomeKind {
-  Answer,  ///< the upstream's answer, just received
-  Replay,  ///< the recorded answer of an earlier call
-  Refuse,  ///< an error
+  Answer,  ///< the upstream's response, just received
+  Replay,  ///< the recorded response of an earlier call
+  Refuse,  ///< an error; the call was refused or its outcome is unknown
 };
 
-/// What the caller is told.
+/// The response to the caller.
 struct ClaimOutcome {
   ClaimOutcomeKind mKind = ClaimOutcomeKind::Refuse;
-  ClaimAnswer mAnswer;                    ///< for Answer and Replay
-  Error mError{ErrorKind::Internal, ""};  ///< for Refuse
+  ClaimAnswer mAnswer;                    ///< set for Answer and Replay
+  Error mError{ErrorKind::Internal, ""};  ///< set for Refuse
 };
 
+/// Numbers of attempts, backoff and size limits of a ClaimCall.
 struct ClaimLimits {
-  int mCreateTries = 3;
-  int mReadTries = 3;
-  int mCleanTries = 5;  ///< reads after a refusal, to remove what is left
-  int mRecordTries = 8;
-  int mRemoveTries = 4;
-  Millis mPause{50};  ///< after the first failure; doubles
-  Millis mLongestPause{4000};
-  size_t mMaxBody = 512 * 1024;  ///< largest answer recorded whole
+  int mMaxCreateAttempts = 3;
+  int mMaxReadAttempts = 3;
+  int mMaxCleanupReads = 5;  ///< reads that look for a claim to remove
+  int mMaxRecordAttempts = 8;
+  int mMaxRemoveAttempts = 4;
+  Millis mInitialBackoff{50};  ///< delay after the first failure; doubles
+  Millis mMaxBackoff{4000};
+  size_t mMaxRecordedBody = 512 * 1024;  ///< bytes; larger bodies are omitted
 };
 
-/// One non-idempotent call. Every event returns the next step. The caller is
-/// answered as soon as Outcome() is set; steps may still follow it.
+/// State machine of one non-idempotent call. Every event returns the next step.
+/// The caller can be answered as soon as Outcome() is set; further steps may
+/// follow.
 class ClaimCall {
  public:
-  /// \param aNonce unique to this call: 128 random bits or more, as text
+  /// \param aDigest RequestDigest() of the request
+  /// \param aNonce unique to this call: at least 128 random bits, as text
   ClaimCall(ClaimKey aKey, std::string aDigest, std::string aNonce,
             ClaimLimits aLimits = ClaimLimits());
   ~ClaimCall();
 
+  /// Begins the call. Invoke once, before any event.
   ClaimStep Start();
-  /// \name What the key-value service did
+  /// \name Results of the key-value service
   /// @{
-  /// It took the write; \p aRevision is the entry's after it.
+  /// The write was applied; \p aRevision is the new revision of the entry.
   ClaimStep Applied(int64_t aRevision);
-  /// The entry holds this: found by a read, or why a write was not applied.
+  /// The entry exists with this value, according to a read or to a write that
+  /// was not applied because of it.
   ClaimStep Found(std::string_view aValue, int64_t aModRevision);
-  /// The entry is absent: by a read, or why a write was not applied.
+  /// The entry is absent, according to a read or to a write that was not
+  /// applied because of it.
   ClaimStep Absent();
-  /// It certainly did not take the call (KvUnavailable), or a read failed.
+  /// The write was certainly not applied (error KvUnavailable), or a read
+  /// failed.
   ClaimStep Unavailable();
-  /// It may have taken the write (KvUncertain).
+  /// The write may have been applied (error KvUncertain).
   ClaimStep Uncertain();
   /// @}
-  /// \name How Run ended
+  /// \name Results of the action Run
   /// @{
-  /// The upstream's whole answer was received.
+  /// The upstream's complete response was received.
   ClaimStep Answered(ClaimAnswer aAnswer);
-  /// Nothing was sent, or the upstream refused before it ran anything.
+  /// Nothing was sent, or the upstream refused the call without running it.
   ClaimStep NotRun(Error aError);
-  /// The call may have run; no whole answer was received.
+  /// The call may have run, but no complete response was received.
   ClaimStep Lost(Error aError);
   /// @}
 
-  /// \return what the caller is told, once it is known
+  /// \return the response to the caller, once it is known
   const std::optional<ClaimOutcome>& Outcome() const;
-  /// \return whether the entry was left behind by a call that was not run, or
-  /// an outcome could not be recorded
+  /// \return whether the entry could not be removed after a call that was not
+  /// run, or the outcome of a call could not be recorded
   bool LeftBehind() const;
 
  private:
--- a/src/include/rillwall/rollout.h
+++ b/src/include/rillwall/rollout.h
@@ -1,10 +1,10 @@
 /// \file
-/// A rollout step as a trainer submits it, the results it collects, and the
-/// decisions over its items.
+/// A rollout step as submitted by a trainer, its results, and the tracker that
+/// decides which of its items run next.
 ///
-/// Pure: no I/O and no clock. An *item* is one text to be generated and scored;
-/// the items of a *group* share their prompt, and a trainer waits for whole
-/// groups.
+/// The code performs no I/O and reads no clock. An *item* is one text to be
+/// generated and scored. The items of a *group* share their prompt, and a
+/// trainer waits for complete groups.
 
 #pragma once
 
@@ -27,7 +27,7 @@
   bool operator==(const RolloutHeader&) const = default;
 };
 
-/// The request that scores an item's text.
+/// The request to a scorer for the text of an item.
 struct ScorerCall {
   std::string mId;
   std::string mHost;
@@ -36,69 +36,71 @@
   bool operator==(const ScorerCall&) const = default;
 };
 
-/// One text to generate.
+/// One text to generate, with the request that generates it.
 struct RolloutItem {
   std::string mId;
   std::string mGroup;
   std::string mPath;
   std::vector<RolloutHeader> mHeaders;
   std::string mBody;
-  int64_t mTokens = 0;      ///< of the prompt and the longest output together
-  int64_t mLengthHint = 0;  ///< expected tokens of output; 0: unknown
+  int64_t mTokens = 0;      ///< prompt and longest possible output together
+  int64_t mLengthHint = 0;  ///< expected output tokens; 0: unknown
   std::optional<ScorerCall> mScorer;
   bool operator==(const RolloutItem&) const = default;
 };
 
-/// A submitted step. Immutable once accepted.
+/// A submitted step. It does not change after it has been accepted.
 struct RolloutSpec {
   std::string mId;
-  std::string mAccount;  ///< client account that submitted it; empty: none
-  std::string mHost;     ///< with mPath: selects the route
+  std::string mAccount;  ///< client account of the submitter; empty: none
+  std::string mHost;     ///< selects the route together with mPath
   std::string mPath;
   int64_t mStep = 0;
-  std::string mModel;         ///< empty: any weights will do
-  int64_t mMinVersion = 0;    ///< oldest weights that may generate its text
-  int64_t mTargetGroups = 0;  ///< the trainer goes on with so many whole groups
+  std::string mModel;         ///< empty: any model
+  int64_t mMinVersion = 0;    ///< oldest weight version that may generate text
+  int64_t mTargetGroups = 0;  ///< complete groups that the trainer waits for
   std::vector<RolloutItem> mItems;
   bool operator==(const RolloutSpec&) const = default;
 };
 
-/// How far a text is written down somewhere.
-struct TextMark {
+/// The part of a text that has been persisted.
+struct PersistedPrefix {
   int64_t mEvents = 0;
   size_t mBytes = 0;     ///< of the output
-  bool mScored = false;  ///< with the score
-  bool operator==(const TextMark&) const = default;
+  bool mScored = false;  ///< the score has been persisted too
+  bool operator==(const PersistedPrefix&) const = default;
 };
 
-/// The text of an item as far as it was generated.
+/// The text of an item as generated so far.
 struct RolloutText {
-  int64_t mEvents = 0;  ///< whole events received; the last one's id
-  std::string mOutput;  ///< data of these events, joined by line feeds
-  std::vector<int64_t> mVersions;  ///< weights that made them, each once
+  int64_t mEvents = 0;  ///< complete events received; id of the last one
+  std::string mOutput;  ///< data of the events, joined by line feeds
+  std::vector<int64_t> mVersions;  ///< weight versions used, each once
   bool mWhole = false;             ///< the last event has been received
-  std::string mScore;              ///< signature of the scorer's answer
-  TextMark mKept;                  ///< what the store keeps of it
-  TextMark mSpooled;               ///< what the host's disk keeps of it
+  std::string mScore;              ///< signature of the scorer's response
+  PersistedPrefix mStored;         ///< part that is in the store
+  PersistedPrefix mSpooled;        ///< part that is on the host's disk
 
-  /// Adds one event.
-  /// \param aVersion weights that made it
+  /// Appends one event.
+  /// \param aVersion weight version that generated it
   void Append(const std::string& aData, int64_t aVersion);
-  /// \return whether a step may use it
+  /// \return whether a step may use the text
+  /// \param aMinVersion oldest weight version that the step allows
+  /// \param aSingleVersion whether one version must have generated all of it
   bool SatisfiesVersions(int64_t aMinVersion, bool aSingleVersion) const;
   bool operator==(const RolloutText&) const = default;
 };
 
-/// A stretch of an unfinished text. Its owner writes such stretches down while
-/// it generates, so that a later owner goes on where the last one ended.
+/// A part of an unfinished text. The owner of a step persists such parts while
+/// the text is generated, so that a later owner resumes after the last of them.
 struct RolloutPart {
   std::string mItem;
-  int64_t mFrom = 0;    ///< events before it; 0: it begins the text anew
-  int64_t mTo = 0;      ///< events of the text including it
-  std::string mOutput;  ///< data of its events, joined
-  std::vector<int64_t> mVersions;  ///< weights of the text so far
+  int64_t mFrom = 0;    ///< events before the part; 0: replaces the text
+  int64_t mTo = 0;      ///< events of the text up to the end of the part
+  std::string mOutput;  ///< data of its events, joined by line feeds
+  std::vector<int64_t> mVersions;  ///< weight versions of the text so far
   bool mWhole = false;             ///< its last event ends the text
-  std::string mScore;              ///< signature of the scorer's answer, if any
+  std::string mScore;  ///< signature of the scorer's response, if any
   bool operator==(const RolloutPart&) const = default;
 };
 
@@ -115,73 +117,83 @@
   bool operator==(const RolloutResult&) const = default;
 };
 
-/// What to run next.
+/// The next item to run.
 struct RolloutPick {
   size_t mItem = 0;    ///< index in the step
-  std::string mAvoid;  ///< replica that failed it last; may be empty
+  std::string mAvoid;  ///< replica that ran it last; may be empty
 };
 
-/// The state of one step's items: what runs next, what is finished, what may
-/// be listed. The owner of the step is its only user.
+/// Tracks the items of one step: which item runs next, which have ended, and
+/// which results can be listed, that is written to the store for the trainer to
+/// read. Used by the owner of the step only.
 class RolloutTracker {
  public:
-  /// \param aAttempts failures after which an item is given up
+  /// \param aAttempts failures after which an item is terminated
+  /// \param aSingleVersion whether adopted and restored texts must come from
+  /// one weight version
   RolloutTracker(RolloutSpec aSpec, int aAttempts, bool aSingleVersion);
 
   const RolloutSpec& Spec() const { return mSpec; }
   const RolloutItem& Item(size_t aIndex) const { return mSpec.mItems[aIndex]; }
   std::optional<size_t> IndexOf(const std::string& aItem) const;
 
-  /// Takes over results that were listed before this owner.
+  /// Restores results that an earlier owner listed.
   void Restore(const std::vector<RolloutResult>& aListed);
-  /// Takes over text of an earlier step, if it fits this one.
-  /// \return whether it was used
+  /// Adopts the text of an item of an earlier step, if this step may use it.
+  /// \return whether the text was adopted
   bool Adopt(size_t aItem, RolloutText aText);
 
-  /// Stretches of unfinished texts that no store keeps yet. They count as kept
-  /// from then on.
-  /// \param aWorth events that take long enough to be generated again
-  /// \param aMaxBytes of text, at which the rest is left for the next time
-  std::vector<RolloutPart> TakeUnstored(int64_t aWorth, size_t aMaxBytes);
-  /// \return whether TakeUnstored would give anything out
-  bool HasUnstored(int64_t aWorth) const;
-  /// The same for the host's disk, of all texts that are not listed: also those
-  /// that have ended.
-  std::vector<RolloutPart> TakeUnspooled(int64_t aWorth, size_t aMaxBytes);
-  /// These results are in the store.
+  /// Returns parts of unfinished texts that are not in the store yet, and marks
+  /// them as stored.
+  /// \param aMinEvents least number of unstored events of a text for which a
+  /// write costs less than to generate them again
+  /// \param aMaxBytes size of the parts after which no further text is added;
+  /// the others are returned by the next call
+  std::vector<RolloutPart> TakeUnstored(int64_t aMinEvents, size_t aMaxBytes);
+  /// \return whether TakeUnstored would return a part
+  bool HasUnstored(int64_t aMinEvents) const;
+  /// Like TakeUnstored, for the host's disk. Covers all texts that are not
+  /// listed, including those that have ended.
+  std::vector<RolloutPart> TakeUnspooled(int64_t aMinEvents, size_t aMaxBytes);
+  /// Reports that these results have been written to the store.
   void Listed(const std::vector<RolloutResult>& aResults);
-  /// Takes over what an earlier owner kept, where it is more than what is here.
-  /// The parts come as they were written.
+  /// Restores texts that an earlier owner persisted, where they are longer than
+  /// the texts of this tracker.
+  /// \param aParts in the order in which they were written
   /// \return events of unlisted texts that need not be generated again
   int64_t RestoreTexts(const std::vector<RolloutPart>& aParts);
 
-  /// \return the next item to run, or nothing if none waits
+  /// \return the next item to run, or nothing if no item waits
   std::optional<RolloutPick> Next() const;
+  /// Reports that a replica began to run an item.
   void Started(size_t aItem, const std::string& aReplica);
-  /// \return the replica that runs it, or ran it last
+  /// \return the replica that runs an item or ran it last
   const std::string& ReplicaOf(size_t aItem) const {
     return mStates[aItem].mLastReplica;
   }
-  /// The text at hand; a run goes on after its last event.
+  /// The text of an item so far. A new run resumes after its last event.
   RolloutText& Text(size_t aItem) { return mStates[aItem].mText; }
-  /// A run ended without the whole text and is to be made again.
-  /// \param aFailed the replica ran it and failed
-  /// \return whether it was given up for that
+  /// Reports that a run ended before the text was complete. The item waits
+  /// again, unless it has failed too often.
+  /// \param aFailed the replica ran the item and failed, which counts as an
+  /// attempt
+  /// \return whether the item was terminated for its failures
   bool Interrupted(size_t aItem, bool aFailed);
-  /// An item that waits is not to run for now; TerminateUnfinished() ends it
-  /// with the others if that does not change.
+  /// Excludes a waiting item from Next() until RequeueDeferred() admits it
+  /// again. TerminateUnfinished() also terminates deferred items.
   void Defer(size_t aItem);
-  /// Items that were set aside wait again, if a test allows it.
-  /// \param aMayRun whether an item may run now
+  /// Queues deferred items again.
+  /// \param aMayRun predicate that selects the items that may run now
   void RequeueDeferred(const std::function<bool(size_t aItem)>& aMayRun);
-  /// The replica says that the item can never be done.
+  /// Reports that the replica declared the item impossible; terminates it.
   void Impossible(size_t aItem);
-  /// Text and score are whole.
+  /// Reports that text and score are complete.
   void Finished(size_t aItem);
-  /// Everything that has not ended is given up, as the longest wait is over.
+  /// Terminates all items that have not ended, after the longest wait.
   void TerminateUnfinished();
 
-  /// Finished results that are not listed yet, in the order they ended.
+  /// Returns the results that are not listed yet, in the order in which their
+  /// items ended, and clears them.
   std::vector<RolloutResult> TakeUnlisted();
   bool HasUnlisted() const { return !mUnlisted.empty(); }
   bool AllEnded() const { return mEnded == mStates.size(); }
@@ -190,42 +202,44 @@
   size_t Ended() const { return mEnded; }
   /// \return groups whose items have all ended
   size_t WholeGroups() const { return mWholeGroups; }
-  /// \return whether its trainer has all that it waits for: so many whole
-  /// groups, and among them each that it asked for in an earlier step
+  /// \return whether the trainer can go on: at least mTargetGroups groups are
+  /// complete, including every group carried over from an earlier step
   bool TargetReached() const;
-  /// Texts of items, for a later step that asks for them again.
+  /// \return texts of the items of incomplete groups by item id, for a later
+  /// step that requests the items again
   std::map<std::string, RolloutText> TextsOfOpenGroups() const;
 
  private:
-  enum class Phase { Waiting, Aside, Running, Ended };
+  enum class Phase { Waiting, Deferred, Running, Ended };
   struct State {
     Phase mPhase = Phase::Waiting;
     int mFailures = 0;
-    bool mListed = false;  ///< its result is in the store
+    bool mListed = false;  ///< the result is in the store
     std::string mLastReplica;
     RolloutText mText;
   };
   struct Group {
     size_t mSize = 0;
     size_t mEnded = 0;
-    bool mCarried = false;  ///< an earlier step had it too
+    bool mCarriedOver = false;  ///< an earlier step contained the group too
   };
-  /// Place in the order of starts: lower runs sooner.
-  struct Place {
-    int mRank = 0;  ///< 0: text at hand or carried over; 1: others
-    int64_t mExpected = 0;
+  /// Sort key of waiting items; lower values start first.
+  struct StartOrder {
+    int mRank = 0;  ///< 0: begun, adopted or failed before; 1: others
+    int64_t mExpectedTokens = 0;
     size_t mItem = 0;
-    bool operator<(const Place& aOther) const;
+    bool operator<(const StartOrder& aOther) const;
   };
-  Place PlaceOf(size_t aItem) const;
-  static bool WorthKeeping(const State& aState, int64_t aWorth);
-  static bool WorthSpooling(const State& aState, int64_t aWorth);
-  /// \return what a mark does not cover yet; the mark then does
-  static RolloutPart Stretch(std::string aItem, RolloutText& aText,
-                             TextMark RolloutText::*aMark);
-  std::vector<RolloutPart> TakeWorthy(bool (*aWorthy)(const State&, int64_t),
-                                      int64_t aWorth, size_t aMaxBytes,
-                                      TextMark RolloutText::*aMark);
+  StartOrder StartOrderOf(size_t aItem) const;
+  static bool WorthStoring(const State& aState, int64_t aMinEvents);
+  static bool WorthSpooling(const State& aState, int64_t aMinEvents);
+  /// Extends a persisted prefix to the end of the text.
+  /// \return the part that the prefix did not cover before
+  static RolloutPart TakePart(std::string aItem, RolloutText& aText,
+                              PersistedPrefix RolloutText::*aPrefix);
+  std::vector<RolloutPart> TakeParts(bool (*aSelects)(const State&, int64_t),
+                                     int64_t aMinEvents, size_t aMaxBytes,
+                                     PersistedPrefix RolloutText::*aPrefix);
   void AdoptRestored(size_t aItem, RolloutText aText);
   void End(size_t aItem, RolloutEnd aEnd);
   RolloutResult ResultOf(size_t aItem, RolloutEnd aEnd) const;
@@ -236,8 +250,8 @@
   std::map<std::string, size_t> mIndex;
   std::map<std::string, Group> mGroups;
   std::vector<State> mStates;
-  std::set<Place> mWaiting;
-  std::set<size_t> mAside;
+  std::set<StartOrder> mWaiting;
+  std::set<size_t> mDeferred;
   std::vector<RolloutResult> mUnlisted;
   size_t mEnded = 0;
   size_t mWholeGroups = 0;
--- a/src/include/rillwall/swap_plan.h
+++ b/src/include/rillwall/swap_plan.h
@@ -1,16 +1,17 @@
 /// \file
-/// The decisions of an upstream's controller about orders to load weights.
+/// Decides when the controller of an upstream orders it to load weights.
 ///
-/// Each engine has one controller, a node that holds the duty and its fencing
-/// number. All nodes put the engines of a model into one order that they
-/// compute alike from the ids and the version, and begin each engine's load at
-/// the instant of its rank. So the loads together keep to the weight store's
-/// rate and to the limit of engines loading at once, and no node needs to ask
-/// another. What an engine reports decides what is ordered again: a failed
-/// swap after a pause that doubles, a version older than the newest whenever it
-/// is read back. A version newer than the newest known is left alone.
+/// Each engine has one controller: the node that holds the duty and its fencing
+/// number. All nodes compute the same ranking of the engines of a model from
+/// their ids and the version, and start the load of each engine at the time
+/// that its rank gives. The loads together therefore respect the rate of the
+/// weight store and the limit of engines that load at the same time, without
+/// messages between nodes. The reports of an engine decide what is ordered
+/// again: a failed swap after an exponential backoff, and the newest version
+/// whenever an engine reports an older one. An engine with a version newer than
+/// the newest known one is not changed.
 ///
-/// Sans-IO and single-threaded.
+/// The code performs no I/O and is not thread-safe.
 
 #pragma once
 
@@ -27,24 +28,24 @@
 
 namespace rillwall {
 
-/// The newest weight version of a model, as this node knows it.
-struct WeightsFact {
+/// The newest weight version of a model that this node knows.
+struct NewestWeights {
   int64_t mVersion = 0;  ///< 0: none
   int64_t mBytes = 0;
-  Millis mLearnedAt;  ///< when this node learned of it
-  bool operator==(const WeightsFact&) const = default;
+  Millis mLearnedAt;  ///< time at which this node learned of it
+  bool operator==(const NewestWeights&) const = default;
 };
 
-/// One engine of the model, of the whole host list.
+/// One engine of the model, out of the full list of hosts.
 struct SwapEngine {
   std::string mId;
   bool mLeaving = false;
-  bool mIsController = false;  ///< this node is its controller
-  uint64_t mFence = 0;  ///< this node's fencing number for it; 0: none yet
-  std::optional<LoadReport> mReport;  ///< needed for engines of the duty only
+  bool mIsController = false;  ///< this node is the engine's controller
+  uint64_t mFence = 0;         ///< this node's fencing number; 0: none yet
+  std::optional<LoadReport> mReport;  ///< needed if mIsController
 };
 
-/// An order to send now.
+/// An order to load weights, to be sent now.
 struct SwapOrder {
   std::string mUpstream;
   int64_t mVersion = 0;
@@ -52,54 +53,61 @@
   bool operator==(const SwapOrder&) const = default;
 };
 
+/// Times that govern the orders to load weights.
 struct SwapLimits {
-  Millis mBound{7000};         ///< from learning to the last engine swapped
-  Millis mSpreadMargin{1500};  ///< of the bound, for gossip and reports
-  Millis mFirstLoad{1000};     ///< a load's time before one was seen
-  Millis mOrderTimeout{3000};  ///< an order without effect is sent again
-  Millis mLoadTimeout{60000};  ///< a load without end is ordered again
-  Millis mRetryPause{250};     ///< after the first failure; doubles
-  Millis mRetryLongest{8000};
-  Millis mPauseGap{2000};  ///< ticks further apart: the node was paused
+  Millis mBound{7000};            ///< from learning a version to the last swap
+  Millis mSpreadMargin{1500};     ///< part of mBound for gossip and reports
+  Millis mInitialLoadTime{1000};  ///< estimate before the first load
+  Millis mOrderTimeout{3000};     ///< an order without effect is repeated
+  Millis mLoadTimeout{60000};     ///< an unfinished load is ordered again
+  Millis mRetryBackoff{250};      ///< after the first failure; doubles
+  Millis mMaxRetryBackoff{8000};
+  Millis mPauseThreshold{2000};  ///< a longer gap between ticks is a pause
 };
 
-/// What the controller knows at a tick.
+/// Input of a tick: what the controller knows.
 struct SwapInputs {
   ModelRule mRule;
   std::vector<SwapEngine> mEngines;
-  WeightsFact mNewest;
-  /// When the fences were last confirmed to be the newest. Matters after a
-  /// pause of this node, for engines that ignore fencing numbers.
+  NewestWeights mNewest;
+  /// Time at which the fencing numbers were last confirmed to be the newest.
+  /// Used after a pause of this node, for engines that ignore fencing numbers.
   Millis mFencesConfirmedAt;
 };
 
-/// Counts since the start, for metrics.
+/// Counters since the start, for metrics.
 struct SwapCounts {
   uint64_t mOrders = 0;
-  uint64_t mRetries = 0;     ///< orders after a failed or lost one
-  uint64_t mReconciled = 0;  ///< engines found back on an older version
+  uint64_t mRetries = 0;     ///< orders after a failed or lost order
+  uint64_t mReconciled = 0;  ///< engines that fell back to an older version
   uint64_t mStaleFences = 0;
   bool operator==(const SwapCounts&) const = default;
 };
 
+/// Plans the orders of one controller for the engines of one model.
 class SwapPlan {
  public:
   explicit SwapPlan(SwapLimits aLimits = SwapLimits());
   ~SwapPlan();
 
-  /// Call every 100 ms or so.
+  /// Call about every 100 ms.
+  /// \return the orders to send now
   std::vector<SwapOrder> Tick(const SwapInputs& aInputs, Millis aNow);
-  /// The engine refused an order for its fencing number: another controller
-  /// took over. No order is sent to it with this number or a lower one.
+  /// Reports that an engine refused an order because of its fencing number:
+  /// another controller has taken over. No further order with this number or a
+  /// lower one is sent to the engine.
   void StaleFence(std::string_view aUpstream, uint64_t aFence);
-  /// An order could not be sent or was refused for another reason.
+  /// Reports that an order could not be sent or was refused for another reason.
   void OrderFailed(std::string_view aUpstream, Millis aNow);
 
-  /// \return engines of the duty that do not serve the newest version yet
+  /// \return number of controlled engines that do not serve the newest version
+  /// yet
   size_t Behind() const;
   const SwapCounts& Counts() const;
-  /// \return whether orders wait for the fences to be confirmed after a pause
+  /// \return whether orders wait for confirmation of the fencing numbers after
+  /// a pause of this node
   bool NeedsFenceCheck() const;
+  /// \return the state as a JSON object, for diagnosis
   std::string Dump() const;
 
  private:
@@ -107,14 +115,16 @@
   std::unique_ptr<Impl> mImpl;
 };
 
-/// The order in which engines load a version; the same on every node.
-/// \return the ids, the first to load first
+/// Ranks the engines for the load of a version. The ranking is the same on
+/// every node. \return the ids in the order in which the engines load
 std::vector<std::string> SwapRanks(std::vector<std::string> aIds,
                                    int64_t aVersion);
 
-/// \param aLoad time that one load takes
-/// \return time from the start of one engine's load to the next one's
+/// \param aBytes size of the weights
+/// \param aEngines number of engines
+/// \param aLoadTime duration of one load
+/// \return time between the starts of two consecutive loads
 Millis SwapSpacing(const SwapLimits& aLimits, const ModelRule& aRule,
-                   int64_t aBytes, size_t aEngines, Millis aLoad);
+                   int64_t aBytes, size_t aEngines, Millis aLoadTime);
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/base64url.cpp
+++ b/src/librillwall_coordination/base64url.cpp
@@ -44,8 +44,8 @@
 
 std::optional<std::string> DecodeBase64Url(std::string_view aText) {
   std::string padded = Translate(std::string(aText), '-', '_', '+', '/');
-  const size_t over = padded.size() % kCharsPerBlock;
-  const size_t missing = over == 0 ? 0 : kCharsPerBlock - over;
+  const size_t remainder = padded.size() % kCharsPerBlock;
+  const size_t missing = remainder == 0 ? 0 : kCharsPerBlock - remainder;
   padded.append(missing, kPadding);
   std::string bytes(padded.size(), '\0');
   const int size = EVP_DecodeBlock(Bytes(bytes), Bytes(padded),
@@ -54,7 +54,7 @@
     return std::nullopt;
   }
   bytes.resize(static_cast<size_t>(size) - missing);
-  // Only the one text that the encoder makes of these bytes is taken.
+  // Accepts only the canonical encoding of the bytes.
   if (EncodeBase64Url(bytes) != aText) {
     return std::nullopt;
   }
--- a/src/librillwall_coordination/base64url.h
+++ b/src/librillwall_coordination/base64url.h
@@ -1,5 +1,5 @@
 /// \file
-/// Base64 with the URL-safe alphabet and no padding, by OpenSSL's codec.
+/// Base64 with the URL-safe alphabet and without padding, based on OpenSSL.
 
 #pragma once
 
@@ -9,9 +9,10 @@
 
 namespace rillwall {
 
-/// \return the text that stands for these bytes
+/// \return the bytes encoded as text
 std::string EncodeBase64Url(std::string_view aBytes);
-/// \return the bytes, or nothing if EncodeBase64Url cannot have made the text
+/// \return the decoded bytes, or nothing if the text is not one that
+/// EncodeBase64Url returns
 std::optional<std::string> DecodeBase64Url(std::string_view aText);
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/claim_call.cpp
+++ b/src/librillwall_coordination/claim_call.cpp
@@ -1,14 +1,14 @@
 /// \file
-/// The life of a non-idempotent call as a state machine.
+/// The state machine of a non-idempotent call.
 ///
-///     Idle -> Claiming <-> Checking     a claim is created, or read back
-///     Claiming, Checking -> Running     the claim is this call's
-///     Claiming, Checking -> Cleaning    refused, but a claim may be left
-///     Running -> Recording -> Ended     the answer is written down
+///     Idle -> Claiming <-> Checking     create a claim, or read it back
+///     Claiming, Checking -> Running     the claim belongs to this call
+///     Claiming, Checking -> Cleaning    refused, but a claim may exist
+///     Running -> Recording -> Ended     record the response
 ///     Running, Cleaning -> Removing -> Ended
 ///
-/// A refusal before Running says not-run, which is the truth: Running is
-/// entered by the creator of the claim only, and only once.
+/// A refusal before Running reports not-run. This is correct because only the
+/// creator of the claim enters Running, and only once.
 
 #define BOOST_MPL_CFG_NO_PREPROCESSED_HEADERS
 #define BOOST_MPL_LIMIT_LIST_SIZE 40
@@ -28,9 +28,9 @@
 
 namespace front = boost::msm::front;
 
-constexpr const char* kNoClaim =
-    "The call needs a claim in the key-value service, which does not answer; "
-    "nothing was sent to the upstream.";
+constexpr const char* kClaimNotCreated =
+    "The call needs a claim in the key-value service, which does not respond; "
+    "nothing was sent to the upstream. Retry the call later.";
 
 // Events.
 struct StartEvent {};
@@ -54,23 +54,23 @@
   const Error& mError;
 };
 
-/// What the machine works on.
+/// Data of the state machine.
 struct Context {
   ClaimRecord mClaim;
   ClaimLimits mLimits;
   ClaimStep mStep;
   std::optional<ClaimOutcome> mOutcome;
-  ClaimOutcome mPrepared;  ///< told once the entry was written or removed
+  ClaimOutcome mPendingOutcome;  ///< published after the write or removal
   int64_t mRevision = 0;
-  int mFailures = 0;  ///< of the present kind of step
+  int mFailures = 0;  ///< failed attempts of the current kind of step
   int mCreates = 0;
-  bool mUnsure = false;  ///< a create may still take effect
+  bool mCreateUncertain = false;  ///< a create may take effect later
   bool mLeftBehind = false;
 
   Millis Pause() const {
-    return mFailures == 0
-               ? Millis(0)
-               : FailurePause(mFailures, mLimits.mPause, mLimits.mLongestPause);
+    return mFailures == 0 ? Millis(0)
+                          : FailurePause(mFailures, mLimits.mInitialBackoff,
+                                         mLimits.mMaxBackoff);
   }
 
   void Next(ClaimAction aNext, std::string aValue = {}) {
@@ -88,9 +88,9 @@
     Next(ClaimAction::End);
   }
 
-  void Tell() {
+  void PublishOutcome() {
     if (!mOutcome) {
-      mOutcome = std::move(mPrepared);
+      mOutcome = std::move(mPendingOutcome);
     }
   }
 };
@@ -113,17 +113,17 @@
   template <class Event, class Machine, class From, class To>
   bool operator()(const Event&, Machine& aMachine, From&, To&) const {
     const Context& context = aMachine.mContext;
-    return context.mCreates < context.mLimits.mCreateTries;
+    return context.mCreates < context.mLimits.mMaxCreateAttempts;
   }
 };
-/// Whether a create may still take effect, or did.
-struct IsUnsure {
+/// Whether a create may have taken effect or may still take effect.
+struct MayBeCreated {
   template <class Event, class Machine, class From, class To>
   bool operator()(const Event&, Machine& aMachine, From&, To&) const {
-    return aMachine.mContext.mUnsure;
+    return aMachine.mContext.mCreateUncertain;
   }
 };
-/// Whether one more try of this kind of step is left.
+/// Whether another attempt of this kind of step is allowed.
 template <int ClaimLimits::*Tries>
 struct MayTry {
   template <class Event, class Machine, class From, class To>
@@ -147,15 +147,15 @@
     aMachine.mContext.Create();
   }
 };
-struct DoCheck {
+struct DoReadBack {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
-    aMachine.mContext.mUnsure = true;
+    aMachine.mContext.mCreateUncertain = true;
     aMachine.mContext.mFailures = 0;
     aMachine.mContext.Next(ClaimAction::Read);
   }
 };
-struct DoCheckAgain {
+struct DoReadAgain {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
     ++aMachine.mContext.mFailures;
@@ -170,8 +170,8 @@
     aMachine.mContext.Next(ClaimAction::Run);
   }
 };
-/// The claim is another call's.
-struct DoRepeat {
+/// Responds from the record if the claim belongs to another call.
+struct DoAnswerRepeat {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
@@ -183,14 +183,16 @@
                      RunState::NotRun);
     } else if (record.mState != ClaimState::Done) {
       context.Refuse(ErrorKind::OutcomeUnknown,
-                     "A call with this Idempotency-Key runs now or ended "
-                     "without a recorded outcome.",
+                     "A call with this Idempotency-Key is running or ended "
+                     "without a recorded outcome; check the upstream's records "
+                     "before you use a new key.",
                      RunState::Unknown);
-    } else if (record.mAnswer.mBodyLeftOut) {
+    } else if (record.mAnswer.mBodyOmitted) {
       context.Refuse(ErrorKind::OutcomeUnknown,
-                     "The call ran and was answered with status " +
+                     "The call ran and the upstream responded with status " +
                          std::to_string(record.mAnswer.mStatus) +
-                         ", but its answer was too large to be recorded.",
+                         ", but the response was too large to be recorded; "
+                         "check the upstream's records.",
                      RunState::Run);
     } else {
       context.mOutcome =
@@ -203,16 +205,17 @@
 struct DoRefuse {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
-    aMachine.mContext.Refuse(ErrorKind::KvUnavailable, kNoClaim,
+    aMachine.mContext.Refuse(ErrorKind::KvUnavailable, kClaimNotCreated,
                              RunState::NotRun);
   }
 };
-/// Refuses, and reads back in order to remove what may have been created.
+/// Refuses the call, then reads the entry to remove a claim that may have been
+/// created.
 struct DoClean {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
-    context.Refuse(ErrorKind::KvUncertain, kNoClaim, RunState::NotRun);
+    context.Refuse(ErrorKind::KvUncertain, kClaimNotCreated, RunState::NotRun);
     context.mFailures = 1;
     context.Next(ClaimAction::Read);
   }
@@ -229,25 +232,26 @@
   template <class Event, class Machine, class From, class To>
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
-    context.mPrepared =
+    context.mPendingOutcome =
         ClaimOutcome{ClaimOutcomeKind::Answer, std::move(aEvent.mAnswer),
                      Error(ErrorKind::Internal, "", RunState::Run)};
     context.mClaim.mState = ClaimState::Done;
-    context.mClaim.mAnswer = context.mPrepared.mAnswer;
-    if (context.mClaim.mAnswer.mBody.size() > context.mLimits.mMaxBody) {
+    context.mClaim.mAnswer = context.mPendingOutcome.mAnswer;
+    if (context.mClaim.mAnswer.mBody.size() >
+        context.mLimits.mMaxRecordedBody) {
       context.mClaim.mAnswer.mBody.clear();
-      context.mClaim.mAnswer.mBodyLeftOut = true;
+      context.mClaim.mAnswer.mBodyOmitted = true;
     }
     context.Next(ClaimAction::Record, EncodeClaim(context.mClaim));
   }
 };
-/// The answer waits for the first try only.
+/// Publishes the response after the first failed attempt, then tries again.
 struct DoRecordAgain {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
     ++context.mFailures;
-    context.Tell();
+    context.PublishOutcome();
     context.Next(ClaimAction::Record, EncodeClaim(context.mClaim));
   }
 };
@@ -255,7 +259,7 @@
   template <class Event, class Machine, class From, class To>
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
-    context.mPrepared = ClaimOutcome{
+    context.mPendingOutcome = ClaimOutcome{
         ClaimOutcomeKind::Refuse, {}, aEvent.mError.With(RunState::NotRun)};
     context.Next(ClaimAction::Remove);
   }
@@ -265,14 +269,14 @@
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
     ++context.mFailures;
-    context.Tell();
+    context.PublishOutcome();
     context.Next(ClaimAction::Remove);
   }
 };
 struct DoEnd {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
-    aMachine.mContext.Tell();
+    aMachine.mContext.PublishOutcome();
     aMachine.mContext.Next(ClaimAction::End);
   }
 };
@@ -280,11 +284,11 @@
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
     aMachine.mContext.mLeftBehind = true;
-    aMachine.mContext.Tell();
+    aMachine.mContext.PublishOutcome();
     aMachine.mContext.Next(ClaimAction::End);
   }
 };
-struct DoLose {
+struct DoReportLost {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
@@ -305,10 +309,10 @@
 struct Removing : front::state<> {};
 struct Ended : front::state<> {};
 
-using MayClean = MayTry<&ClaimLimits::mCleanTries>;
-using MayRead = MayTry<&ClaimLimits::mReadTries>;
-using MayRecord = MayTry<&ClaimLimits::mRecordTries>;
-using MayRemove = MayTry<&ClaimLimits::mRemoveTries>;
+using MayClean = MayTry<&ClaimLimits::mMaxCleanupReads>;
+using MayRead = MayTry<&ClaimLimits::mMaxReadAttempts>;
+using MayRecord = MayTry<&ClaimLimits::mMaxRecordAttempts>;
+using MayRemove = MayTry<&ClaimLimits::mMaxRemoveAttempts>;
 
 template <class From, class Event, class To, class Action,
           class Guard = front::none>
@@ -318,39 +322,39 @@
   Context mContext;
 
   using initial_state = Idle;
-  // Of several rows for one state and event, the last whose guard holds wins.
-  // MSM looks for the table by this name.
+  // If several rows match a state and event, the last one whose guard holds
+  // applies. MSM requires the name of the table.
   // clang-format off
   // NOLINTNEXTLINE(readability-identifier-naming)
   struct transition_table : boost::mpl::vector<
     Row<Idle,      StartEvent,       Claiming,  DoCreate>,
 
     Row<Claiming,  AppliedEvent,     Running,   DoRun>,
-    Row<Claiming,  FoundEvent,       Ended,     DoRepeat>,
+    Row<Claiming,  FoundEvent,       Ended,     DoAnswerRepeat>,
     Row<Claiming,  FoundEvent,       Running,   DoRun,         IsOwn>,
     Row<Claiming,  AbsentEvent,      Ended,     DoRefuse>,
-    Row<Claiming,  AbsentEvent,      Cleaning,  DoClean,       IsUnsure>,
+    Row<Claiming,  AbsentEvent,      Cleaning,  DoClean,       MayBeCreated>,
     Row<Claiming,  AbsentEvent,      Claiming,  DoCreateAgain, MayCreate>,
     Row<Claiming,  UnavailableEvent, Ended,     DoRefuse>,
-    Row<Claiming,  UnavailableEvent, Cleaning,  DoClean,       IsUnsure>,
-    Row<Claiming,  UncertainEvent,   Checking,  DoCheck>,
+    Row<Claiming,  UnavailableEvent, Cleaning,  DoClean,       MayBeCreated>,
+    Row<Claiming,  UncertainEvent,   Checking,  DoReadBack>,
 
-    Row<Checking,  FoundEvent,       Ended,     DoRepeat>,
+    Row<Checking,  FoundEvent,       Ended,     DoAnswerRepeat>,
     Row<Checking,  FoundEvent,       Running,   DoRun,         IsOwn>,
     Row<Checking,  AbsentEvent,      Cleaning,  DoClean>,
     Row<Checking,  AbsentEvent,      Claiming,  DoCreateAgain, MayCreate>,
     Row<Checking,  UnavailableEvent, Cleaning,  DoClean>,
-    Row<Checking,  UnavailableEvent, Checking,  DoCheckAgain,  MayRead>,
+    Row<Checking,  UnavailableEvent, Checking,  DoReadAgain,   MayRead>,
 
     Row<Cleaning,  FoundEvent,       Ended,     DoEnd>,
     Row<Cleaning,  FoundEvent,       Removing,  DoRemoveFound, IsOwn>,
     Row<Cleaning,  AbsentEvent,      Ended,     DoGiveUp>,
     Row<Cleaning,  UnavailableEvent, Ended,     DoGiveUp>,
-    Row<Cleaning,  UnavailableEvent, Cleaning,  DoCheckAgain,  MayClean>,
+    Row<Cleaning,  UnavailableEvent, Cleaning,  DoReadAgain,   MayClean>,
 
     Row<Running,   AnsweredEvent,    Recording, DoRecord>,
     Row<Running,   NotRunEvent,      Removing,  DoRemove>,
-    Row<Running,   LostEvent,        Ended,     DoLose>,
+    Row<Running,   LostEvent,        Ended,     DoReportLost>,
 
     Row<Recording, AppliedEvent,     Ended,     DoEnd>,
     Row<Recording, FoundEvent,       Ended,     DoGiveUp>,
@@ -371,14 +375,16 @@
   > {};
   // clang-format on
 
-  /// An event that does not fit the state is a defect of the owner; the call
-  /// ends without another step, and never runs on it.
+  /// An event that the state does not allow is a defect of the owner. The call
+  /// ends without another step and is never run because of such an event.
   template <class Machine, class Event>
   void no_transition(const Event&, Machine& aMachine, int) {
     Context& context = aMachine.mContext;
     if (!context.mOutcome) {
       context.Refuse(ErrorKind::Internal,
-                     "The claim of this call met an event out of order.",
+                     "The claim of this call received an event that its state "
+                     "does not allow; check the upstream's records before you "
+                     "repeat the call.",
                      RunState::Unknown);
     }
     context.Next(ClaimAction::End);
@@ -419,7 +425,8 @@
 }
 
 ClaimStep ClaimCall::Found(std::string_view aValue, int64_t aModRevision) {
-  // A record that cannot be read is another's whose outcome is not known.
+  // A record that cannot be decoded is treated as that of another call with an
+  // unknown outcome.
   ClaimRecord unreadable;
   unreadable.mDigest = mImpl->mMachine.mContext.mClaim.mDigest;
   const Result<ClaimRecord> decoded = DecodeClaim(aValue);
--- a/src/librillwall_coordination/claim_codec.cpp
+++ b/src/librillwall_coordination/claim_codec.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The claim's text in the key-value service, and the request's digest.
+/// The encoding of claims in the key-value service, and the digest of requests.
 
 #include <openssl/evp.h>
 
@@ -17,7 +17,7 @@
 
 namespace json = boost::json;
 
-constexpr size_t kLongestKey = 255;
+constexpr size_t kMaxKeyLength = 255;
 constexpr char kFirstVisible = '!';
 constexpr char kLastVisible = '~';
 constexpr const char* kClaimed = "claimed";
@@ -37,7 +37,7 @@
   return text;
 }
 
-bool IsPlain(char aChar) {
+bool IsUnreserved(char aChar) {
   const auto byte = static_cast<unsigned char>(aChar);
   return std::isalnum(byte) != 0 || aChar == '-' || aChar == '_' ||
          aChar == '.';
@@ -46,7 +46,7 @@
 std::string PercentEncode(std::string_view aText) {
   std::string encoded;
   for (const char each : aText) {
-    if (IsPlain(each)) {
+    if (IsUnreserved(each)) {
       encoded.push_back(each);
       continue;
     }
@@ -61,11 +61,11 @@
   for (const ClaimHeader& header : aAnswer.mHeaders) {
     headers.push_back(json::array{header.mName, header.mValue});
   }
-  // The body may be of any bytes, which JSON text cannot hold as they are.
+  // The body may contain any bytes, which JSON text cannot represent directly.
   return {{"status", aAnswer.mStatus},
           {"headers", headers},
           {"body", EncodeBase64Url(aAnswer.mBody)},
-          {"body_left_out", aAnswer.mBodyLeftOut}};
+          {"body_left_out", aAnswer.mBodyOmitted}};
 }
 
 std::string Text(const json::value& aValue) {
@@ -80,7 +80,7 @@
     answer.mHeaders.push_back({Text(pair.at(0)), Text(pair.at(1))});
   }
   answer.mBody = DecodeBase64Url(aObject.at("body").as_string()).value();
-  answer.mBodyLeftOut = aObject.at("body_left_out").as_bool();
+  answer.mBodyOmitted = aObject.at("body_left_out").as_bool();
   return answer;
 }
 
@@ -125,7 +125,7 @@
     return DecodeRecord(json::parse(aText).as_object());
   } catch (const std::exception& failure) {
     return Error(ErrorKind::Internal,
-                 std::string("The claim's record cannot be read (") +
+                 std::string("The claim record cannot be decoded (") +
                      failure.what() + ").");
   }
 }
@@ -153,7 +153,7 @@
   const auto visible = [](char aChar) {
     return aChar >= kFirstVisible && aChar <= kLastVisible;
   };
-  const bool fits = !aKey.empty() && aKey.size() <= kLongestKey;
+  const bool fits = !aKey.empty() && aKey.size() <= kMaxKeyLength;
   if (fits && std::all_of(aKey.begin(), aKey.end(), visible)) {
     return std::nullopt;
   }
--- a/src/librillwall_coordination/claim_random_test.cpp
+++ b/src/librillwall_coordination/claim_random_test.cpp
@@ -1,10 +1,10 @@
 /// \file
-/// Randomised runs of many calls with the same key against a key-value service
-/// that loses answers, applies writes late and has outages, through nodes that
-/// die at any step.
+/// Randomised tests of many calls with the same key. The key-value service
+/// loses responses, applies writes late and has outages, and the nodes that
+/// carry out the calls die at any step.
 ///
-/// Asserted: the upstream runs a key at most once, a call that is told not-run
-/// has not run, and a replay is the answer that the run gave.
+/// Verified: the upstream runs a key at most once, a call reported as not-run
+/// has not run, and a replayed response is that of the run.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -18,16 +18,17 @@
 
 namespace {
 
-enum class Effect { Whole, AnswerLost, Late, Refused };
+enum class WriteEffect { Succeeded, AnswerLost, Delayed, Rejected };
 
-/// One entry with compare-and-swap; writes may take effect late.
+/// A key-value store of one entry with compare-and-swap and delayed writes.
 class FakeStore {
  public:
   struct Entry {
     std::string mValue;
     int64_t mRevision = 0;
   };
-  /// Writes or, with an empty value, removes the entry if unchanged.
+  /// Writes the entry if its revision is the expected one; an empty value
+  /// removes it.
   bool Swap(int64_t aExpected, const std::string& aValue) {
     const int64_t current = mEntry ? mEntry->mRevision : 0;
     if (current != aExpected) {
@@ -42,13 +43,14 @@
     return true;
   }
   void Delay(int64_t aExpected, std::string aValue) {
-    mLate.push_back({std::move(aValue), aExpected});
+    mDelayedWrites.push_back({std::move(aValue), aExpected});
   }
-  void ApplyLate(std::mt19937_64& aRandom) {
-    if (!mLate.empty()) {
-      const size_t at = aRandom() % mLate.size();
-      Swap(mLate[at].mRevision, mLate[at].mValue);
-      mLate.erase(mLate.begin() + static_cast<std::ptrdiff_t>(at));
+  void ApplyDelayed(std::mt19937_64& aRandom) {
+    if (!mDelayedWrites.empty()) {
+      const size_t at = aRandom() % mDelayedWrites.size();
+      Swap(mDelayedWrites[at].mRevision, mDelayedWrites[at].mValue);
+      mDelayedWrites.erase(mDelayedWrites.begin() +
+                           static_cast<std::ptrdiff_t>(at));
     }
   }
   const std::optional<Entry>& Current() const { return mEntry; }
@@ -56,11 +58,11 @@
 
  private:
   std::optional<Entry> mEntry;
-  std::vector<Entry> mLate;
+  std::vector<Entry> mDelayedWrites;
   int64_t mRevision = 0;
 };
 
-/// One call through one node, one step at a time.
+/// One call on one node, carried out step by step.
 struct RunningCall {
   explicit RunningCall(size_t aNumber)
       : mCall({"house", "ledger", "key"}, "digest",
@@ -71,53 +73,54 @@
   bool mRan = false;
 };
 
-/// What a whole run showed.
-struct Tally {
+/// Counts of one simulation.
+struct RunResult {
   int mRuns = 0;
   int mFalseNotRun = 0;
   int mFalseReplays = 0;
   int mReplays = 0;
 };
 
-class World {
+class Simulation {
  public:
-  /// \param aTrusting a defective owner that takes a lost answer for success
-  World(uint64_t aSeed, bool aTrusting)
-      : mRandom(aSeed), mTrusting(aTrusting) {}
+  /// \param aTrustsLostAnswers simulates a defective owner that takes a lost
+  /// response for success
+  Simulation(uint64_t aSeed, bool aTrustsLostAnswers)
+      : mRandom(aSeed), mTrustsLostAnswers(aTrustsLostAnswers) {}
 
-  Tally Run() {
+  RunResult Run() {
     constexpr int kSteps = 120;
-    constexpr size_t kMostCalls = 12;
+    constexpr size_t kMaxCalls = 12;
     for (int step = 0; step < kSteps; ++step) {
-      if (mNumber < kMostCalls && OneIn(4)) {
+      if (mNumber < kMaxCalls && OneIn(4)) {
         mCalls.push_back(std::make_unique<RunningCall>(mNumber++));
       }
       if (OneIn(5)) {
-        mStore.ApplyLate(mRandom);
+        mStore.ApplyDelayed(mRandom);
       }
       if (!mCalls.empty()) {
         Advance(mRandom() % mCalls.size());
       }
     }
-    return mTally;
+    return mResult;
   }
 
  private:
   bool OneIn(uint64_t aChance) { return mRandom() % aChance == 0; }
 
   void Advance(size_t aIndex) {
-    constexpr uint64_t kCrash = 30;
+    constexpr uint64_t kCrashOneIn = 30;
     RunningCall& call = *mCalls[aIndex];
     const bool ended = call.mStep.mNext == ClaimAction::End;
-    if (!ended && !OneIn(kCrash)) {
-      call.mStep = Carry(call);
+    if (!ended && !OneIn(kCrashOneIn)) {
+      call.mStep = Perform(call);
       return;
     }
     Check(call);
     mCalls.erase(mCalls.begin() + static_cast<std::ptrdiff_t>(aIndex));
   }
 
-  ClaimStep Carry(RunningCall& aCall) {
+  ClaimStep Perform(RunningCall& aCall) {
     const ClaimStep& step = aCall.mStep;
     switch (step.mNext) {
       case ClaimAction::Create:
@@ -136,22 +139,22 @@
   ClaimStep Write(RunningCall& aCall, int64_t aExpected,
                   const std::string& aValue) {
     const bool create = aCall.mStep.mNext == ClaimAction::Create;
-    switch (static_cast<Effect>(mRandom() % 4)) {
-      case Effect::Whole:
+    switch (static_cast<WriteEffect>(mRandom() % 4)) {
+      case WriteEffect::Succeeded:
         return mStore.Swap(aExpected, aValue)
                    ? aCall.mCall.Applied(mStore.Revision())
                    : Current(aCall);
-      case Effect::AnswerLost:
+      case WriteEffect::AnswerLost:
         mStore.Swap(aExpected, aValue);
         break;
-      case Effect::Late:
+      case WriteEffect::Delayed:
         mStore.Delay(aExpected, aValue);
         break;
-      case Effect::Refused:
+      case WriteEffect::Rejected:
         return aCall.mCall.Unavailable();
     }
-    return create && mTrusting ? aCall.mCall.Applied(mStore.Revision())
-                               : aCall.mCall.Uncertain();
+    return create && mTrustsLostAnswers ? aCall.mCall.Applied(mStore.Revision())
+                                        : aCall.mCall.Uncertain();
   }
 
   ClaimStep Current(RunningCall& aCall) {
@@ -165,9 +168,9 @@
     if (OneIn(3)) {
       return aCall.mCall.NotRun(gone);
     }
-    ++mTally.mRuns;
+    ++mResult.mRuns;
     aCall.mRan = true;
-    mAnswer = {201, {}, "run " + std::to_string(mTally.mRuns)};
+    mAnswer = {201, {}, "run " + std::to_string(mResult.mRuns)};
     return OneIn(3) ? aCall.mCall.Lost(gone) : aCall.mCall.Answered(mAnswer);
   }
 
@@ -178,20 +181,20 @@
     }
     const bool refused = outcome->mKind == ClaimOutcomeKind::Refuse;
     const bool notRun = outcome->mError.Run() == RunState::NotRun;
-    mTally.mFalseNotRun += refused && notRun && aCall.mRan ? 1 : 0;
+    mResult.mFalseNotRun += refused && notRun && aCall.mRan ? 1 : 0;
     if (outcome->mKind == ClaimOutcomeKind::Replay) {
-      ++mTally.mReplays;
-      mTally.mFalseReplays += outcome->mAnswer == mAnswer ? 0 : 1;
+      ++mResult.mReplays;
+      mResult.mFalseReplays += outcome->mAnswer == mAnswer ? 0 : 1;
     }
   }
 
   std::mt19937_64 mRandom;
-  bool mTrusting;
+  bool mTrustsLostAnswers;
   FakeStore mStore;
   std::vector<std::unique_ptr<RunningCall>> mCalls;
   size_t mNumber = 0;
   ClaimAnswer mAnswer;
-  Tally mTally;
+  RunResult mResult;
 };
 
 }  // namespace
@@ -199,7 +202,7 @@
 class ClaimRandomTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ClaimRandomTest);
   CPPUNIT_TEST(RunsAtMostOnce);
-  CPPUNIT_TEST(SeesADefectiveOwner);
+  CPPUNIT_TEST(DetectsDefectiveOwner);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr uint64_t kSeeds = 3000;
@@ -208,24 +211,26 @@
     int runs = 0;
     int replays = 0;
     for (uint64_t seed = 0; seed < kSeeds; ++seed) {
-      const Tally tally = World(seed, false).Run();
+      const RunResult result = Simulation(seed, false).Run();
       const std::string where = "seed " + std::to_string(seed);
-      CPPUNIT_ASSERT_MESSAGE(where, tally.mRuns <= 1);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(where, 0, tally.mFalseNotRun);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(where, 0, tally.mFalseReplays);
-      runs += tally.mRuns;
-      replays += tally.mReplays;
+      CPPUNIT_ASSERT_MESSAGE(where, result.mRuns <= 1);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(where, 0, result.mFalseNotRun);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(where, 0, result.mFalseReplays);
+      runs += result.mRuns;
+      replays += result.mReplays;
     }
-    // The runs are of use only if calls do run and are repeated.
+    // Verifies that calls do run and are repeated; otherwise the checks above
+    // would prove nothing.
     CPPUNIT_ASSERT(runs > static_cast<int>(kSeeds / 2));
     CPPUNIT_ASSERT(replays > static_cast<int>(kSeeds));
   }
 
-  /// The same check with the read-back left out must see calls run twice.
-  void SeesADefectiveOwner() {
+  /// Without the read-back some calls run twice, which the simulation must
+  /// detect.
+  void DetectsDefectiveOwner() {
     int twice = 0;
     for (uint64_t seed = 0; seed < kSeeds; ++seed) {
-      twice += World(seed, true).Run().mRuns > 1 ? 1 : 0;
+      twice += Simulation(seed, true).Run().mRuns > 1 ? 1 : 0;
     }
     CPPUNIT_ASSERT(twice > 0);
   }
--- a/src/librillwall_coordination/claim_test.cpp
+++ b/src/librillwall_coordination/claim_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the at-most-once protocol, one behaviour each.
+/// Tests of the at-most-once protocol of ClaimCall.
 
 #include "rillwall/claim.h"
 
@@ -43,16 +43,16 @@
 class ClaimTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ClaimTest);
   CPPUNIT_TEST(RecordRoundTrip);
-  CPPUNIT_TEST(PathsTellPartsApart);
-  CPPUNIT_TEST(ChecksKeys);
+  CPPUNIT_TEST(PathsEscapeSeparators);
+  CPPUNIT_TEST(RejectsInvalidIdempotencyKeys);
   CPPUNIT_TEST(RunsAndRecords);
   CPPUNIT_TEST(RepeatsAreAnsweredFromTheRecord);
-  CPPUNIT_TEST(LostCreateIsReadBack);
-  CPPUNIT_TEST(UnreadableIsRefusedAndCleaned);
-  CPPUNIT_TEST(KvDownIsRefused);
+  CPPUNIT_TEST(UncertainCreateIsReadBack);
+  CPPUNIT_TEST(UnreadableClaimIsRefusedAndRemoved);
+  CPPUNIT_TEST(UnavailableKeyValueServiceIsRefused);
   CPPUNIT_TEST(NotRunRemovesTheClaim);
-  CPPUNIT_TEST(LostKeepsTheClaim);
-  CPPUNIT_TEST(AnswerWaitsForOneRecordTryOnly);
+  CPPUNIT_TEST(LostCallKeepsTheClaim);
+  CPPUNIT_TEST(AnswerWaitsForFirstRecordAttemptOnly);
   CPPUNIT_TEST(LargeAnswerIsNotReplayed);
   CPPUNIT_TEST(EventOutOfOrderNeverRuns);
   CPPUNIT_TEST_SUITE_END();
@@ -68,12 +68,12 @@
                    RequestDigest("POST", "/ab", ""));
   }
 
-  void PathsTellPartsApart() {
+  void PathsEscapeSeparators() {
     CPPUNIT_ASSERT_EQUAL(std::string("claim/a%2fb/c/d%25"),
                          ClaimKey({"a/b", "c", "d%"}).Path());
   }
 
-  void ChecksKeys() {
+  void RejectsInvalidIdempotencyKeys() {
     CPPUNIT_ASSERT(!CheckIdempotencyKey("order-7/2"));
     CPPUNIT_ASSERT(CheckIdempotencyKey("").has_value());
     CPPUNIT_ASSERT(CheckIdempotencyKey("a b").has_value());
@@ -115,7 +115,7 @@
     AssertRefused(unreadable, ErrorKind::OutcomeUnknown, RunState::Unknown);
   }
 
-  void LostCreateIsReadBack() {
+  void UncertainCreateIsReadBack() {
     ClaimCall landed = CallOf();
     landed.Start();
     AssertNext(ClaimAction::Read, landed.Uncertain());
@@ -125,7 +125,7 @@
     late.Start();
     late.Uncertain();
     AssertNext(ClaimAction::Create, late.Absent());
-    // The first write took effect after it was looked for.
+    // The first write took effect after the read that looked for it.
     AssertNext(ClaimAction::Run,
                late.Found(RecordOf("mine", ClaimState::Claimed), 7));
     ClaimCall lost = CallOf();
@@ -136,12 +136,12 @@
     AssertRefused(lost, ErrorKind::OutcomeUnknown, RunState::Unknown);
   }
 
-  void UnreadableIsRefusedAndCleaned() {
+  void UnreadableClaimIsRefusedAndRemoved() {
     ClaimCall call = CallOf();
     call.Start();
     call.Uncertain();
     ClaimStep step = call.Unavailable();
-    for (int read = 2; read <= ClaimLimits().mReadTries; ++read) {
+    for (int read = 2; read <= ClaimLimits().mMaxReadAttempts; ++read) {
       AssertNext(ClaimAction::Read, step);
       CPPUNIT_ASSERT(!call.Outcome());
       step = call.Unavailable();
@@ -155,7 +155,7 @@
     CPPUNIT_ASSERT(!call.LeftBehind());
   }
 
-  void KvDownIsRefused() {
+  void UnavailableKeyValueServiceIsRefused() {
     ClaimCall call = CallOf();
     call.Start();
     AssertNext(ClaimAction::End, call.Unavailable());
@@ -174,7 +174,7 @@
     CPPUNIT_ASSERT(!call.LeftBehind());
   }
 
-  void LostKeepsTheClaim() {
+  void LostCallKeepsTheClaim() {
     ClaimCall call = CallOf();
     call.Start();
     call.Applied(7);
@@ -183,7 +183,7 @@
     CPPUNIT_ASSERT(call.LeftBehind());
   }
 
-  void AnswerWaitsForOneRecordTryOnly() {
+  void AnswerWaitsForFirstRecordAttemptOnly() {
     ClaimCall call = CallOf();
     call.Start();
     call.Applied(7);
@@ -192,7 +192,7 @@
     CPPUNIT_ASSERT(call.Outcome()->mAnswer == kAnswer);
     AssertNext(ClaimAction::Record, step);
     CPPUNIT_ASSERT(step.mPause > Millis(0));
-    // The first try took effect after all.
+    // The first attempt has taken effect although its result was uncertain.
     AssertNext(ClaimAction::End,
                call.Found(RecordOf("mine", ClaimState::Done), 8));
     CPPUNIT_ASSERT(!call.LeftBehind());
@@ -200,7 +200,7 @@
 
   void LargeAnswerIsNotReplayed() {
     ClaimLimits limits;
-    limits.mMaxBody = 3;
+    limits.mMaxRecordedBody = 3;
     ClaimCall call(kKey, "digest", "mine", limits);
     call.Start();
     call.Applied(7);
--- a/src/librillwall_coordination/duty_owners.cpp
+++ b/src/librillwall_coordination/duty_owners.cpp
@@ -11,37 +11,37 @@
 
 namespace {
 
-/// A member and its weight for one duty.
+/// A member and its rendezvous hashing weight for one duty.
 struct Candidate {
   uint64_t mWeight = 0;
   const Member* mMember = nullptr;
 };
 
-bool Before(const Candidate& aLeft, const Candidate& aRight) {
+bool RanksBefore(const Candidate& aLeft, const Candidate& aRight) {
   if (aLeft.mWeight != aRight.mWeight) {
     return aLeft.mWeight > aRight.mWeight;
   }
   return aLeft.mMember->mId < aRight.mMember->mId;
 }
 
-// Both hashes are fixed by XXH3's specification, so that all processes, of any
-// version, agree.
+// The specification of XXH3 fixes both hashes, so that processes of all
+// versions agree on the owners.
 uint64_t Weight(uint64_t aDutyHash, const Member& aMember) {
   return XXH3_64bits_withSeed(aMember.mId.data(), aMember.mId.size(),
                               aDutyHash);
 }
 
-/// Keeps aBest the aCount first candidates, in order.
-void Keep(std::vector<Candidate>& aBest, size_t aCount,
-          const Candidate& aCandidate) {
+/// Inserts a candidate into the sorted list of the aCount best candidates.
+void InsertCandidate(std::vector<Candidate>& aBest, size_t aCount,
+                     const Candidate& aCandidate) {
   if (aBest.size() == aCount) {
-    if (!Before(aCandidate, aBest.back())) {
+    if (!RanksBefore(aCandidate, aBest.back())) {
       return;
     }
     aBest.pop_back();
   }
   const auto place =
-      std::upper_bound(aBest.begin(), aBest.end(), aCandidate, Before);
+      std::upper_bound(aBest.begin(), aBest.end(), aCandidate, RanksBefore);
   aBest.insert(place, aCandidate);
 }
 
@@ -57,7 +57,7 @@
   std::vector<Candidate> best;
   best.reserve(std::min(aCount, aLive.size()));
   for (const Member& member : aLive) {
-    Keep(best, aCount, Candidate{Weight(dutyHash, member), &member});
+    InsertCandidate(best, aCount, Candidate{Weight(dutyHash, member), &member});
   }
   owners.reserve(best.size());
   for (const Candidate& candidate : best) {
--- a/src/librillwall_coordination/receipt_test.cpp
+++ b/src/librillwall_coordination/receipt_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the receipt's text.
+/// Tests of the text form of receipts.
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/librillwall_coordination/rollout_tracker.cpp
+++ b/src/librillwall_coordination/rollout_tracker.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr int kRankBegun = 0;
-constexpr int kRankFresh = 1;
+constexpr int kRankStarted = 0;
+constexpr int kRankNew = 1;
 
 }  // namespace
 
@@ -35,11 +35,11 @@
       [aMinVersion](int64_t aVersion) { return aVersion >= aMinVersion; });
 }
 
-bool RolloutTracker::Place::operator<(const Place& aOther) const {
-  // The longest first, each by its own hint: the last item to end decides when
-  // the step is whole.
-  return std::tuple(mRank, -mExpected, mItem) <
-         std::tuple(aOther.mRank, -aOther.mExpected, aOther.mItem);
+bool RolloutTracker::StartOrder::operator<(const StartOrder& aOther) const {
+  // Each item is ordered by its own hint, the longest first, because the step
+  // is complete only when its last item has ended.
+  return std::tuple(mRank, -mExpectedTokens, mItem) <
+         std::tuple(aOther.mRank, -aOther.mExpectedTokens, aOther.mItem);
 }
 
 RolloutTracker::RolloutTracker(RolloutSpec aSpec, int aAttempts,
@@ -54,14 +54,14 @@
     ++mGroups[item.mGroup].mSize;
   }
   for (size_t i = 0; i < mStates.size(); ++i) {
-    mWaiting.insert(PlaceOf(i));
+    mWaiting.insert(StartOrderOf(i));
   }
 }
 
-RolloutTracker::Place RolloutTracker::PlaceOf(size_t aItem) const {
+RolloutTracker::StartOrder RolloutTracker::StartOrderOf(size_t aItem) const {
   const State& state = mStates[aItem];
-  const bool begun = state.mText.mEvents > 0 || state.mFailures > 0;
-  return {begun ? kRankBegun : kRankFresh, mSpec.mItems[aItem].mLengthHint,
+  const bool started = state.mText.mEvents > 0 || state.mFailures > 0;
+  return {started ? kRankStarted : kRankNew, mSpec.mItems[aItem].mLengthHint,
           aItem};
 }
 
@@ -92,84 +92,86 @@
 
 bool RolloutTracker::Adopt(size_t aItem, RolloutText aText) {
   State& state = mStates[aItem];
-  mGroups.at(mSpec.mItems[aItem].mGroup).mCarried = true;
+  mGroups.at(mSpec.mItems[aItem].mGroup).mCarriedOver = true;
   if (state.mPhase != Phase::Waiting ||
       !aText.SatisfiesVersions(mSpec.mMinVersion, mSingleVersion)) {
     return false;
   }
-  mWaiting.erase(PlaceOf(aItem));
+  mWaiting.erase(StartOrderOf(aItem));
   state.mText = std::move(aText);
-  // Kept for its earlier step, under that step's keys.
-  state.mText.mKept = TextMark();
-  state.mText.mSpooled = TextMark();
+  // Parts that are already persisted are stored under the keys of the earlier
+  // step, so this step has to persist the text again.
+  state.mText.mStored = PersistedPrefix();
+  state.mText.mSpooled = PersistedPrefix();
   if (state.mText.mWhole && !state.mText.mScore.empty()) {
     End(aItem, RolloutEnd::Completed);
   } else {
-    mWaiting.insert(PlaceOf(aItem));
+    mWaiting.insert(StartOrderOf(aItem));
   }
   return true;
 }
 
-bool RolloutTracker::WorthKeeping(const State& aState, int64_t aWorth) {
+bool RolloutTracker::WorthStoring(const State& aState, int64_t aMinEvents) {
   const RolloutText& text = aState.mText;
   return aState.mPhase != Phase::Ended &&
-         text.mEvents - text.mKept.mEvents >= aWorth;
+         text.mEvents - text.mStored.mEvents >= aMinEvents;
 }
 
-bool RolloutTracker::WorthSpooling(const State& aState, int64_t aWorth) {
+bool RolloutTracker::WorthSpooling(const State& aState, int64_t aMinEvents) {
   const RolloutText& text = aState.mText;
   const bool scored = !text.mScore.empty() && !text.mSpooled.mScored;
   return !aState.mListed && text.mEvents > 0 &&
-         (scored || text.mEvents - text.mSpooled.mEvents >= aWorth);
+         (scored || text.mEvents - text.mSpooled.mEvents >= aMinEvents);
 }
 
-bool RolloutTracker::HasUnstored(int64_t aWorth) const {
+bool RolloutTracker::HasUnstored(int64_t aMinEvents) const {
   return std::any_of(mStates.begin(), mStates.end(), [=](const State& aState) {
-    return WorthKeeping(aState, aWorth);
+    return WorthStoring(aState, aMinEvents);
   });
 }
 
-RolloutPart RolloutTracker::Stretch(std::string aItem, RolloutText& aText,
-                                    TextMark RolloutText::*aMark) {
-  TextMark& mark = aText.*aMark;
+RolloutPart RolloutTracker::TakePart(std::string aItem, RolloutText& aText,
+                                     PersistedPrefix RolloutText::*aPrefix) {
+  PersistedPrefix& prefix = aText.*aPrefix;
   RolloutPart part;
   part.mItem = std::move(aItem);
-  part.mFrom = mark.mEvents;
+  part.mFrom = prefix.mEvents;
   part.mTo = aText.mEvents;
   if (part.mTo > part.mFrom) {
-    // Without the line feed that joins it to what is written already.
-    const size_t begin = mark.mEvents > 0 ? mark.mBytes + 1 : 0;
+    // Skips the line feed that joins the part to the persisted prefix.
+    const size_t begin = prefix.mEvents > 0 ? prefix.mBytes + 1 : 0;
     part.mOutput = aText.mOutput.substr(begin);
   }
   part.mVersions = aText.mVersions;
   part.mWhole = aText.mWhole;
   part.mScore = aText.mScore;
-  mark = {aText.mEvents, aText.mOutput.size(), !aText.mScore.empty()};
+  prefix = {aText.mEvents, aText.mOutput.size(), !aText.mScore.empty()};
   return part;
 }
 
-std::vector<RolloutPart> RolloutTracker::TakeWorthy(
-    bool (*aWorthy)(const State&, int64_t), int64_t aWorth, size_t aMaxBytes,
-    TextMark RolloutText::*aMark) {
+std::vector<RolloutPart> RolloutTracker::TakeParts(
+    bool (*aSelects)(const State&, int64_t), int64_t aMinEvents,
+    size_t aMaxBytes, PersistedPrefix RolloutText::*aPrefix) {
   std::vector<RolloutPart> parts;
   size_t bytes = 0;
   for (size_t i = 0; bytes < aMaxBytes && i < mStates.size(); ++i) {
-    if (aWorthy(mStates[i], aWorth)) {
-      parts.push_back(Stretch(mSpec.mItems[i].mId, mStates[i].mText, aMark));
+    if (aSelects(mStates[i], aMinEvents)) {
+      parts.push_back(TakePart(mSpec.mItems[i].mId, mStates[i].mText, aPrefix));
       bytes += parts.back().mOutput.size();
     }
   }
   return parts;
 }
 
-std::vector<RolloutPart> RolloutTracker::TakeUnstored(int64_t aWorth,
+std::vector<RolloutPart> RolloutTracker::TakeUnstored(int64_t aMinEvents,
                                                       size_t aMaxBytes) {
-  return TakeWorthy(&WorthKeeping, aWorth, aMaxBytes, &RolloutText::mKept);
+  return TakeParts(&WorthStoring, aMinEvents, aMaxBytes, &RolloutText::mStored);
 }
 
-std::vector<RolloutPart> RolloutTracker::TakeUnspooled(int64_t aWorth,
+std::vector<RolloutPart> RolloutTracker::TakeUnspooled(int64_t aMinEvents,
                                                        size_t aMaxBytes) {
-  return TakeWorthy(&WorthSpooling, aWorth, aMaxBytes, &RolloutText::mSpooled);
+  return TakeParts(&WorthSpooling, aMinEvents, aMaxBytes,
+                   &RolloutText::mSpooled);
 }
 
 void RolloutTracker::Listed(const std::vector<RolloutResult>& aResults) {
@@ -190,9 +192,9 @@
       !aText.SatisfiesVersions(mSpec.mMinVersion, mSingleVersion)) {
     return;
   }
-  mWaiting.erase(PlaceOf(aItem));
+  mWaiting.erase(StartOrderOf(aItem));
   state.mText = std::move(aText);
-  mWaiting.insert(PlaceOf(aItem));
+  mWaiting.insert(StartOrderOf(aItem));
   if (state.mText.mWhole && !state.mText.mScore.empty()) {
     End(aItem, RolloutEnd::Completed);
   }
@@ -218,7 +220,7 @@
     text.mVersions = part.mVersions;
     text.mWhole = part.mWhole;
     text.mScore = part.mScore;
-    text.mKept = {text.mEvents, text.mOutput.size(), false};
+    text.mStored = {text.mEvents, text.mOutput.size(), false};
   }
   for (auto& [item, text] : texts) {
     AdoptRestored(item, std::move(text));
@@ -240,7 +242,7 @@
 }
 
 void RolloutTracker::Started(size_t aItem, const std::string& aReplica) {
-  mWaiting.erase(PlaceOf(aItem));
+  mWaiting.erase(StartOrderOf(aItem));
   mStates[aItem].mPhase = Phase::Running;
   mStates[aItem].mLastReplica = aReplica;
 }
@@ -256,29 +258,29 @@
     return true;
   }
   state.mPhase = Phase::Waiting;
-  mWaiting.insert(PlaceOf(aItem));
+  mWaiting.insert(StartOrderOf(aItem));
   return false;
 }
 
 void RolloutTracker::Defer(size_t aItem) {
   State& state = mStates[aItem];
   if (state.mPhase == Phase::Waiting) {
-    mWaiting.erase(PlaceOf(aItem));
-    state.mPhase = Phase::Aside;
-    mAside.insert(aItem);
+    mWaiting.erase(StartOrderOf(aItem));
+    state.mPhase = Phase::Deferred;
+    mDeferred.insert(aItem);
   }
 }
 
 void RolloutTracker::RequeueDeferred(
     const std::function<bool(size_t aItem)>& aMayRun) {
-  for (auto at = mAside.begin(); at != mAside.end();) {
+  for (auto at = mDeferred.begin(); at != mDeferred.end();) {
     if (!aMayRun(*at)) {
       ++at;
       continue;
     }
     mStates[*at].mPhase = Phase::Waiting;
-    mWaiting.insert(PlaceOf(*at));
-    at = mAside.erase(at);
+    mWaiting.insert(StartOrderOf(*at));
+    at = mDeferred.erase(at);
   }
 }
 
@@ -305,9 +307,9 @@
 void RolloutTracker::End(size_t aItem, RolloutEnd aEnd) {
   State& state = mStates[aItem];
   if (state.mPhase == Phase::Waiting) {
-    mWaiting.erase(PlaceOf(aItem));
+    mWaiting.erase(StartOrderOf(aItem));
   }
-  mAside.erase(aItem);
+  mDeferred.erase(aItem);
   state.mPhase = Phase::Ended;
   ++mEnded;
   Group& group = mGroups[mSpec.mItems[aItem].mGroup];
@@ -340,7 +342,7 @@
   }
   return std::all_of(mGroups.begin(), mGroups.end(), [](const auto& aEntry) {
     const Group& group = aEntry.second;
-    return !group.mCarried || group.mEnded == group.mSize;
+    return !group.mCarriedOver || group.mEnded == group.mSize;
   });
 }
 
--- a/src/librillwall_coordination/rollout_tracker_test.cpp
+++ b/src/librillwall_coordination/rollout_tracker_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the decisions over a step's items.
+/// Tests of RolloutTracker: order of starts, results, and persisted texts.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -19,7 +19,8 @@
   return item;
 }
 
-/// Two groups of two; the texts of the second are expected to be longer.
+/// \return a step of two groups of two items. The texts of the second group are
+/// expected to be longer.
 RolloutSpec Spec() {
   RolloutSpec spec;
   spec.mId = "step";
@@ -37,7 +38,8 @@
   return text;
 }
 
-/// Starts the next item. \return its id
+/// Starts the next item.
+/// \return its id, or "none" if no item waits
 std::string StartNext(RolloutTracker& aTracker) {
   const std::optional<RolloutPick> pick = aTracker.Next();
   if (!pick) {
@@ -59,35 +61,35 @@
 class RolloutTrackerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RolloutTrackerTest);
   CPPUNIT_TEST(LongestItemStartsFirst);
-  CPPUNIT_TEST(LongTextDoesNotMakeItsGroupUrgent);
-  CPPUNIT_TEST(BegunTextGoesOnFirst);
+  CPPUNIT_TEST(LongTextDoesNotPromoteItsGroup);
+  CPPUNIT_TEST(StartedTextResumesFirst);
   CPPUNIT_TEST(RemembersTheReplicaThatFailed);
   CPPUNIT_TEST(GivesUpAfterAttempts);
-  CPPUNIT_TEST(BrokenStreamsAreNoAttempts);
+  CPPUNIT_TEST(BrokenStreamsDoNotCountAsAttempts);
   CPPUNIT_TEST(ImpossibleItemIsTerminatedAtOnce);
   CPPUNIT_TEST(ListsEachResultOnce);
   CPPUNIT_TEST(CountsWholeGroups);
-  CPPUNIT_TEST(CarriedGroupsBelongToTheTarget);
+  CPPUNIT_TEST(TargetRequiresCarriedOverGroups);
   CPPUNIT_TEST(TargetIsReachedByAnyGroups);
   CPPUNIT_TEST(RestoredResultsAreNotListedAgain);
   CPPUNIT_TEST(LateEndsAreIgnored);
-  CPPUNIT_TEST(AdoptsOnlyTextThatFits);
-  CPPUNIT_TEST(AdoptedWholeTextIsListed);
-  CPPUNIT_TEST(CarriesTextsOfOpenGroups);
-  CPPUNIT_TEST(GivesUpRest);
-  CPPUNIT_TEST(TextKeepsEachVersionOnce);
-  CPPUNIT_TEST(UnkeptTextIsGivenOutOnce);
-  CPPUNIT_TEST(ShortTextsAreNotWorthAWrite);
-  CPPUNIT_TEST(KeptTextsComeBack);
-  CPPUNIT_TEST(PartsWithAGapAreLeftOut);
-  CPPUNIT_TEST(TextMadeAnewReplacesWhatWasKept);
-  CPPUNIT_TEST(OldPartsDoNotFit);
-  CPPUNIT_TEST(CarriedTextIsKeptAnew);
-  CPPUNIT_TEST(SpooledTextsHaveTheirScores);
+  CPPUNIT_TEST(AdoptsOnlyTextOfAllowedVersions);
+  CPPUNIT_TEST(AdoptedCompleteTextIsListed);
+  CPPUNIT_TEST(ReturnsTextsOfOpenGroups);
+  CPPUNIT_TEST(TerminatesUnfinishedItems);
+  CPPUNIT_TEST(TextListsEachVersionOnce);
+  CPPUNIT_TEST(UnstoredTextIsTakenOnce);
+  CPPUNIT_TEST(ShortTextsAreNotStored);
+  CPPUNIT_TEST(StoredTextsAreRestored);
+  CPPUNIT_TEST(PartsAfterAGapAreIgnored);
+  CPPUNIT_TEST(RegeneratedTextReplacesStoredText);
+  CPPUNIT_TEST(PartsOfDisallowedVersionsAreIgnored);
+  CPPUNIT_TEST(CarriedOverTextIsStoredAgain);
+  CPPUNIT_TEST(SpooledTextsIncludeTheirScores);
   CPPUNIT_TEST(ListedTextsAreNotSpooled);
   CPPUNIT_TEST(LongerOfTwoTextsIsRestored);
-  CPPUNIT_TEST(ItemSetAsideIsPassedOver);
-  CPPUNIT_TEST(ItemSetAsideIsGivenUpWithTheRest);
+  CPPUNIT_TEST(DeferredItemIsSkipped);
+  CPPUNIT_TEST(DeferredItemIsTerminatedWithTheRest);
   CPPUNIT_TEST_SUITE_END();
 
   RolloutTracker mTracker{Spec(), kAttempts, false};
@@ -100,10 +102,10 @@
     CPPUNIT_ASSERT_EQUAL(std::string("none"), StartNext(mTracker));
   }
 
-  void ItemSetAsideIsPassedOver() {
+  void DeferredItemIsSkipped() {
     mTracker.Defer(*mTracker.IndexOf("b1"));
     CPPUNIT_ASSERT_EQUAL(std::string("b2"), StartNext(mTracker));
-    // One that runs stays where it is.
+    // A running item cannot be deferred.
     mTracker.Defer(*mTracker.IndexOf("b2"));
     mTracker.RequeueDeferred([](size_t) { return false; });
     CPPUNIT_ASSERT_EQUAL(std::string("a1"), StartNext(mTracker));
@@ -113,7 +115,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("none"), StartNext(mTracker));
   }
 
-  void ItemSetAsideIsGivenUpWithTheRest() {
+  void DeferredItemIsTerminatedWithTheRest() {
     mTracker.Defer(*mTracker.IndexOf("b1"));
     mTracker.TerminateUnfinished();
     CPPUNIT_ASSERT(mTracker.AllEnded());
@@ -121,7 +123,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("none"), StartNext(mTracker));
   }
 
-  void LongTextDoesNotMakeItsGroupUrgent() {
+  void LongTextDoesNotPromoteItsGroup() {
     RolloutSpec spec = Spec();
     spec.mItems[3].mLengthHint = 5;
     RolloutTracker tracker(spec, kAttempts, false);
@@ -131,7 +133,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b2"), StartNext(tracker));
   }
 
-  void BegunTextGoesOnFirst() {
+  void StartedTextResumesFirst() {
     StartNext(mTracker);
     StartNext(mTracker);
     StartNext(mTracker);
@@ -159,7 +161,7 @@
     CPPUNIT_ASSERT(listed[0].mEnd == RolloutEnd::Terminated);
   }
 
-  void BrokenStreamsAreNoAttempts() {
+  void BrokenStreamsDoNotCountAsAttempts() {
     const size_t b1 = *mTracker.IndexOf("b1");
     for (int i = 0; i < 10 * kAttempts; ++i) {
       mTracker.Started(b1, "r");
@@ -192,7 +194,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTracker.WholeGroups());
   }
 
-  void CarriedGroupsBelongToTheTarget() {
+  void TargetRequiresCarriedOverGroups() {
     RolloutSpec spec = Spec();
     spec.mTargetGroups = 1;
     RolloutTracker tracker(spec, kAttempts, false);
@@ -241,7 +243,7 @@
     CPPUNIT_ASSERT(!mTracker.HasUnlisted());
   }
 
-  void AdoptsOnlyTextThatFits() {
+  void AdoptsOnlyTextOfAllowedVersions() {
     const size_t a1 = *mTracker.IndexOf("a1");
     CPPUNIT_ASSERT(!mTracker.Adopt(a1, TextOf(3, 3)));
     CPPUNIT_ASSERT(mTracker.Adopt(a1, TextOf(3, 4)));
@@ -253,7 +255,7 @@
     CPPUNIT_ASSERT(mixed.SatisfiesVersions(4, false));
   }
 
-  void AdoptedWholeTextIsListed() {
+  void AdoptedCompleteTextIsListed() {
     RolloutText text = TextOf(2, 5);
     text.mWhole = true;
     text.mScore = "signature";
@@ -263,7 +265,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e\ne"), listed[0].mOutput);
   }
 
-  void CarriesTextsOfOpenGroups() {
+  void ReturnsTextsOfOpenGroups() {
     while (StartNext(mTracker) != "none") {
     }
     Finish(mTracker, "b1");
@@ -276,7 +278,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("s"), texts.at("a1").mScore);
   }
 
-  void GivesUpRest() {
+  void TerminatesUnfinishedItems() {
     StartNext(mTracker);
     Finish(mTracker, "b1");
     mTracker.TerminateUnfinished();
@@ -284,7 +286,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("none"), StartNext(mTracker));
   }
 
-  void TextKeepsEachVersionOnce() {
+  void TextListsEachVersionOnce() {
     RolloutText text = TextOf(2, 5);
     text.Append("x", 6);
     text.Append("y", 6);
@@ -295,14 +297,14 @@
 
   static constexpr size_t kAnySize = 1000000;
 
-  /// A book whose first item runs and has some events.
+  /// \return a tracker whose first item runs and has this number of events
   static RolloutTracker Running(int64_t aEvents) {
     RolloutTracker tracker(Spec(), kAttempts, false);
     StartNext(tracker);
     Grow(tracker, aEvents);
     return tracker;
   }
-  /// Adds events to the running item b1, numbered.
+  /// Appends numbered events to the running item b1.
   static void Grow(RolloutTracker& aTracker, int64_t aEvents) {
     RolloutText& text = aTracker.Text(*aTracker.IndexOf("b1"));
     for (int64_t i = 0; i < aEvents; ++i) {
@@ -315,7 +317,7 @@
     return tracker.Text(*tracker.IndexOf("b1"));
   }
 
-  void UnkeptTextIsGivenOutOnce() {
+  void UnstoredTextIsTakenOnce() {
     RolloutTracker tracker = Running(3);
     const std::vector<RolloutPart> first = tracker.TakeUnstored(2, kAnySize);
     const RolloutPart expected{"b1", 0, 3, "e1\ne2\ne3", {5}, false, ""};
@@ -327,7 +329,7 @@
     CPPUNIT_ASSERT(second == std::vector<RolloutPart>{rest});
   }
 
-  void ShortTextsAreNotWorthAWrite() {
+  void ShortTextsAreNotStored() {
     RolloutTracker tracker = Running(3);
     CPPUNIT_ASSERT(!tracker.HasUnstored(4));
     CPPUNIT_ASSERT(tracker.TakeUnstored(4, kAnySize).empty());
@@ -338,7 +340,7 @@
     CPPUNIT_ASSERT(tracker.TakeUnstored(1, kAnySize).empty());
   }
 
-  void KeptTextsComeBack() {
+  void StoredTextsAreRestored() {
     RolloutTracker tracker = Running(3);
     std::vector<RolloutPart> parts = tracker.TakeUnstored(1, kAnySize);
     Grow(tracker, 2);
@@ -352,12 +354,12 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e1\ne2\ne3\ne4\ne5"), text.mOutput);
     CPPUNIT_ASSERT(text.mWhole);
     CPPUNIT_ASSERT(text.mVersions == std::vector<int64_t>{5});
-    // It is in the store already, and goes first.
+    // The text is in the store already, and its item starts first.
     CPPUNIT_ASSERT(later.TakeUnstored(1, kAnySize).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("b1"), StartNext(later));
   }
 
-  void PartsWithAGapAreLeftOut() {
+  void PartsAfterAGapAreIgnored() {
     const RolloutPart first{"b1", 0, 2, "e1\ne2", {5}, false, ""};
     const RolloutPart gap{"b1", 3, 4, "e4", {5}, false, ""};
     CPPUNIT_ASSERT_EQUAL(int64_t{2}, Restored({first, gap}).mEvents);
@@ -367,7 +369,7 @@
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, Restored({other}).mEvents);
   }
 
-  void TextMadeAnewReplacesWhatWasKept() {
+  void RegeneratedTextReplacesStoredText() {
     RolloutTracker tracker = Running(3);
     std::vector<RolloutPart> parts = tracker.TakeUnstored(1, kAnySize);
     RolloutText& text = tracker.Text(*tracker.IndexOf("b1"));
@@ -380,7 +382,7 @@
     CPPUNIT_ASSERT(Restored(parts).mVersions == std::vector<int64_t>{6});
   }
 
-  void OldPartsDoNotFit() {
+  void PartsOfDisallowedVersionsAreIgnored() {
     const RolloutPart old{"b1", 0, 2, "e1\ne2", {3}, false, ""};
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, Restored({old}).mEvents);
     RolloutTracker single(Spec(), kAttempts, true);
@@ -389,7 +391,7 @@
                          single.Text(*single.IndexOf("b1")).mEvents);
   }
 
-  void CarriedTextIsKeptAnew() {
+  void CarriedOverTextIsStoredAgain() {
     RolloutTracker tracker = Running(3);
     tracker.TakeUnstored(1, kAnySize);
     RolloutText text = tracker.TextsOfOpenGroups().at("b1");
@@ -401,7 +403,7 @@
     CPPUNIT_ASSERT_EQUAL(int64_t{3}, parts[0].mTo);
   }
 
-  void SpooledTextsHaveTheirScores() {
+  void SpooledTextsIncludeTheirScores() {
     RolloutTracker tracker = Running(3);
     std::vector<RolloutPart> parts = tracker.TakeUnspooled(1, kAnySize);
     CPPUNIT_ASSERT(tracker.TakeUnspooled(1, kAnySize).empty());
--- a/src/librillwall_coordination/sha256.cpp
+++ b/src/librillwall_coordination/sha256.cpp
@@ -14,8 +14,9 @@
 
 }  // namespace
 
-// The algorithm is looked up once, and each thread keeps its context: that is
-// two thirds of the time of a digest of some twenty bytes.
+// Fetching the algorithm and allocating the context take two thirds of the time
+// of a digest of about twenty bytes. The algorithm is therefore fetched once,
+// and each thread reuses its context.
 Sha256Bytes Sha256(std::initializer_list<std::string_view> aTexts) {
   static EVP_MD* const kSha256 = EVP_MD_fetch(nullptr, "SHA256", nullptr);
   thread_local std::unique_ptr<EVP_MD_CTX, FreeContext> sContext(
--- a/src/librillwall_coordination/sha256.h
+++ b/src/librillwall_coordination/sha256.h
@@ -1,5 +1,5 @@
 /// \file
-/// SHA-256 of some texts after one another, by OpenSSL.
+/// SHA-256 of a sequence of texts, computed by OpenSSL.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 using Sha256Bytes = std::array<unsigned char, 32>;
 
-/// \param aTexts hashed as one text
+/// \param aTexts hashed as if they were concatenated
 Sha256Bytes Sha256(std::initializer_list<std::string_view> aTexts);
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/step_bench.cpp
+++ b/src/librillwall_coordination/step_bench.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// Costs of the decisions on steps, weights and claims at the size to design
-/// for, and what the book makes of a simulated step: its length and the group
-/// runs it took (256 are needed).
+/// Benchmarks of the decisions on steps, weights and claims at design size, and
+/// of simulated steps. A simulated step reports its duration and the number of
+/// group runs, of which at least 256 are needed.
 
 #include <benchmark/benchmark.h>
 
@@ -31,47 +31,47 @@
   return spec;
 }
 
-std::vector<RunnerCapacity> Rooms(size_t aNodes, int64_t aRoom) {
-  std::vector<RunnerCapacity> rooms;
+std::vector<RunnerCapacity> Capacities(size_t aNodes, int64_t aCapacity) {
+  std::vector<RunnerCapacity> capacities;
   for (size_t node = 0; node < aNodes; ++node) {
-    rooms.push_back({"node-" + std::to_string(node), aRoom});
+    capacities.push_back({"node-" + std::to_string(node), aCapacity});
   }
-  return rooms;
+  return capacities;
 }
 
 GroupSummary Done(const GroupOrder& aOrder) {
   return {aOrder.mGroup, aOrder.mRunner, aOrder.mAttempt, 5, Millis(0), 500};
 }
 
-/// Orders all 2,048 groups (of one sample) at once.
+/// A tick that orders all 2,048 groups, of one sample each.
 void TickOrders(benchmark::State& aState) {
   const StepSpec spec = SpecOf(kSamples);
-  const std::vector<RunnerCapacity> rooms = Rooms(kNodes, 6);
+  const std::vector<RunnerCapacity> capacities = Capacities(kNodes, 6);
   for (auto _ : aState) {
     aState.PauseTiming();
     StepTracker tracker(spec, TrainerRule(), false, kStart);
     aState.ResumeTiming();
-    benchmark::DoNotOptimize(tracker.Tick(rooms, 5, kStart));
+    benchmark::DoNotOptimize(tracker.Tick(capacities, 5, kStart));
   }
 }
 BENCHMARK(TickOrders)->Unit(benchmark::kMicrosecond);
 
-/// A tick at which nothing is to be done: all groups run.
+/// A tick without actions, as all groups are running.
 void TickIdle(benchmark::State& aState) {
   StepTracker tracker(SpecOf(kSamples), TrainerRule(), false, kStart);
-  const std::vector<RunnerCapacity> rooms = Rooms(kNodes, 6);
-  tracker.Tick(rooms, 5, kStart);
+  const std::vector<RunnerCapacity> capacities = Capacities(kNodes, 6);
+  tracker.Tick(capacities, 5, kStart);
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(tracker.Tick(rooms, 5, kStart));
+    benchmark::DoNotOptimize(tracker.Tick(capacities, 5, kStart));
   }
 }
 BENCHMARK(TickIdle)->Unit(benchmark::kMicrosecond);
 
-/// A pull while all groups are held: plans 64 of them.
+/// A pull that plans 64 groups while all groups are held.
 void PlanHeld(benchmark::State& aState) {
   StepTracker tracker(SpecOf(kSamples), TrainerRule(), false, kStart);
   for (const GroupOrder& order :
-       tracker.Tick(Rooms(kNodes, 6), 5, kStart).mRun) {
+       tracker.Tick(Capacities(kNodes, 6), 5, kStart).mRun) {
     tracker.Finished(Done(order), kStart);
   }
   const Receipt receipt(tracker.Spec().mId, kSamples);
@@ -82,7 +82,7 @@
 }
 BENCHMARK(PlanHeld)->Unit(benchmark::kMicrosecond);
 
-/// A receipt that names half of the groups, written and read.
+/// Formats and parses a receipt that names up to half of the groups.
 void ReceiptText(benchmark::State& aState) {
   const StepId step{"letters", 7};
   Receipt receipt(step, kSamples);
@@ -97,13 +97,13 @@
 }
 BENCHMARK(ReceiptText)->Unit(benchmark::kMicrosecond);
 
-/// A takeover: 370 nodes name what they hold and run.
+/// A takeover with the inventories of 370 nodes.
 void Rebuild(benchmark::State& aState) {
   const StepSpec spec = SpecOf(kSamples);
   StepTracker before(spec, TrainerRule(), false, kStart);
   std::map<std::string, std::vector<GroupSummary>> held;
   for (const GroupOrder& order :
-       before.Tick(Rooms(kNodes, 6), 5, kStart).mRun) {
+       before.Tick(Capacities(kNodes, 6), 5, kStart).mRun) {
     held[order.mRunner].push_back(Done(order));
   }
   for (auto _ : aState) {
@@ -117,25 +117,25 @@
 }
 BENCHMARK(Rebuild)->Unit(benchmark::kMillisecond);
 
-/// What prompts tell of the length of the answers.
-enum class Prompts { TellLength, TellNothing };
+/// Whether the length of a prompt hints at the length of the output.
+enum class Prompts { HintLength, NoHint };
 
-/// Whether some engines are slow: one runner in 16 at a third of the speed,
-/// one run in 50 at a fifth.
+/// Whether some engines are slow: one runner in 16 runs at a third of the
+/// speed, one run in 50 at a fifth.
 enum class Engines { Alike, Uneven };
 
 struct Scenario {
   bool mHedge = false;
-  Prompts mPrompts = Prompts::TellLength;
+  Prompts mPrompts = Prompts::HintLength;
   Engines mEngines = Engines::Alike;
-  Millis mVersionEvery{0};  ///< 0: no new versions
-  bool mLookAhead = false;  ///< the versions' interval is known
-  int64_t mCapacity = 4;    ///< groups a runner takes at once
+  Millis mVersionEvery{0};      ///< 0: no new versions
+  bool mIntervalKnown = false;  ///< the interval is known beforehand
+  int64_t mCapacity = 4;        ///< concurrent groups per runner
 };
 
-/// One simulated step: 256 groups of 8 on 32 runners with room for 4 each (or
-/// 1). A group takes the longest of 8 log-normal lengths. The trainer takes in
-/// finished groups at once.
+/// Simulates one step of 256 groups of 8 samples on 32 runners with a capacity
+/// of 4 groups (or 1) each. The length of a group is the longest of 8
+/// log-normal lengths. The trainer accepts finished groups immediately.
 class SimulatedStep {
  public:
   SimulatedStep(uint64_t aSeed, const Scenario& aScenario)
@@ -143,7 +143,7 @@
         mScenario(aScenario),
         mTracker(MakeSpec(), MakeRule(), false, kStart),
         mReceipt(mTracker.Spec().mId, kGroups) {
-    if (mScenario.mLookAhead) {
+    if (mScenario.mIntervalKnown) {
       mTracker.SetVersionInterval(mScenario.mVersionEvery);
     }
   }
@@ -152,7 +152,8 @@
   double Run() {
     constexpr Millis kTick{50};
     while (!mReceipt.Complete()) {
-      const StepActions actions = mTracker.Tick(FreeRooms(), Newest(), mNow);
+      const StepActions actions =
+          mTracker.Tick(FreeCapacities(), Newest(), mNow);
       Cancel(actions);
       for (const GroupOrder& order : actions.mRun) {
         Begin(order);
@@ -191,19 +192,20 @@
         longest = std::max(longest, typical * std::exp(spread(mRandom)));
       }
       mTokens.push_back(std::min<double>(longest, spec.mMaxTokens));
-      const bool tell = mScenario.mPrompts == Prompts::TellLength;
-      spec.mPrompts.emplace_back(tell ? static_cast<size_t>(typical) : 100,
+      const bool hint = mScenario.mPrompts == Prompts::HintLength;
+      spec.mPrompts.emplace_back(hint ? static_cast<size_t>(typical) : 100,
                                  'p');
     }
     return spec;
   }
 
-  std::vector<RunnerCapacity> FreeRooms() const {
-    std::vector<RunnerCapacity> rooms = Rooms(kRunners, mScenario.mCapacity);
+  std::vector<RunnerCapacity> FreeCapacities() const {
+    std::vector<RunnerCapacity> capacities =
+        Capacities(kRunners, mScenario.mCapacity);
     for (const auto& [finish, run] : mRunning) {
-      --rooms[std::stoul(run.mOrder.mRunner.substr(5))].mCapacity;
+      --capacities[std::stoul(run.mOrder.mRunner.substr(5))].mCapacity;
     }
-    return rooms;
+    return capacities;
   }
 
   int64_t Newest() const {
@@ -231,7 +233,7 @@
       GroupSummary summary = Done(run.mOrder);
       summary.mTokens = static_cast<int64_t>(mTokens[run.mOrder.mGroup]);
       summary.mOldestVersion = run.mVersion;
-      summary.mAge = mNow - run.mBegun;
+      summary.mAge = mNow - run.mStartedAt;
       Cancel(mTracker.Finished(summary, mNow));
     }
   }
@@ -257,7 +259,7 @@
   struct GroupRun {
     GroupOrder mOrder;
     int64_t mVersion = 0;
-    Millis mBegun;
+    Millis mStartedAt;
   };
 
   std::mt19937_64 mRandom;
@@ -290,21 +292,22 @@
 #define RILLWALL_STEP(aName, ...) \
   BENCHMARK_CAPTURE(StepLength, aName, Scenario{__VA_ARGS__})->Iterations(1)
 
-RILLWALL_STEP(AlikePlain, false, Prompts::TellNothing);
-RILLWALL_STEP(AlikeLongestFirst, false, Prompts::TellLength);
-RILLWALL_STEP(AlikeLongestFirstHedged, true, Prompts::TellLength);
-RILLWALL_STEP(UnevenPlain, false, Prompts::TellNothing, Engines::Uneven);
-RILLWALL_STEP(UnevenLongestFirst, false, Prompts::TellLength, Engines::Uneven);
-RILLWALL_STEP(UnevenHedged, true, Prompts::TellNothing, Engines::Uneven);
-RILLWALL_STEP(UnevenLongestFirstHedged, true, Prompts::TellLength,
+RILLWALL_STEP(AlikePlain, false, Prompts::NoHint);
+RILLWALL_STEP(AlikeLongestFirst, false, Prompts::HintLength);
+RILLWALL_STEP(AlikeLongestFirstHedged, true, Prompts::HintLength);
+RILLWALL_STEP(UnevenPlain, false, Prompts::NoHint, Engines::Uneven);
+RILLWALL_STEP(UnevenLongestFirst, false, Prompts::HintLength, Engines::Uneven);
+RILLWALL_STEP(UnevenHedged, true, Prompts::NoHint, Engines::Uneven);
+RILLWALL_STEP(UnevenLongestFirstHedged, true, Prompts::HintLength,
               Engines::Uneven);
-// Versions every 40 s of a step of 100 s, none of which may be missed.
-RILLWALL_STEP(OnPolicy, true, Prompts::TellLength, Engines::Alike,
+// New versions appear every 40 s in a step of 100 s, and the staleness bound is
+// 0 versions.
+RILLWALL_STEP(OnPolicy, true, Prompts::HintLength, Engines::Alike,
               Millis(40000), false, 1);
-RILLWALL_STEP(OnPolicyLookAhead, true, Prompts::TellLength, Engines::Alike,
+RILLWALL_STEP(OnPolicyLookAhead, true, Prompts::HintLength, Engines::Alike,
               Millis(40000), true, 1);
 
-/// A controller's tick with all 600 engines listed and two of its own.
+/// A tick of a controller of two engines, in a list of 600 engines.
 void SwapTick(benchmark::State& aState) {
   constexpr size_t kEngines = 600;
   SwapInputs inputs;
@@ -325,7 +328,7 @@
 }
 BENCHMARK(SwapTick)->Unit(benchmark::kMicrosecond);
 
-/// A non-idempotent call's decisions, from claim to record.
+/// The decisions of a non-idempotent call, from the claim to the record.
 void ClaimLife(benchmark::State& aState) {
   const ClaimAnswer answer{201, {}, std::string(200, 'a')};
   for (auto _ : aState) {
--- a/src/librillwall_coordination/step_estimate.cpp
+++ b/src/librillwall_coordination/step_estimate.cpp
@@ -7,12 +7,14 @@
 
 namespace {
 
-/// Observations that the mean of all groups counts for in each class.
+/// Weight of the mean of all groups in each class, in observations.
 constexpr double kPriorWeight = 4;
-/// From a group's end to its delivery: a pull's round trip and the fetch.
+/// Time from the end of a group to its delivery: the round trip of a pull and
+/// the fetch of the samples.
 constexpr Millis kDeliveryMargin{2000};
-/// A group that never fits is begun in the first part of a version's life.
-constexpr int64_t kEarlyPart = 4;
+/// A group that would exceed the bound at any start time may start only in the
+/// first 1/kEarlyDivisor of a version interval.
+constexpr int64_t kEarlyDivisor = 4;
 
 }  // namespace
 
@@ -25,7 +27,7 @@
   }
 }
 
-double LengthModel::Expect(size_t aPromptBytes) const {
+double LengthModel::Estimate(size_t aPromptBytes) const {
   if (mAll.mCount == 0) {
     return static_cast<double>(aPromptBytes);
   }
@@ -48,53 +50,53 @@
   return mDurations.empty() ? Millis(0) : mDurations[mDurations.size() / 2];
 }
 
-Millis DurationModel::Expect(double aTokens) const {
+Millis DurationModel::Estimate(double aTokens) const {
   if (mDurations.empty()) {
     return Millis(0);
   }
   return Millis(static_cast<int64_t>(aTokens * mTotalMillis / mTotalTokens));
 }
 
-void VersionPace::Observe(int64_t aNewest, Millis aNow) {
+void VersionRate::Observe(int64_t aNewest, Millis aNow) {
   if (aNewest <= mNewest) {
     return;
   }
   const bool first = mNewest < 0;
-  const int64_t rises = aNewest - mNewest;
+  const int64_t newVersions = aNewest - mNewest;
   mNewest = aNewest;
   if (first) {
     return;
   }
-  if (mLastRise) {
-    const Millis interval = (aNow - *mLastRise) / rises;
+  if (mLastVersionAt) {
+    const Millis interval = (aNow - *mLastVersionAt) / newVersions;
     mInterval = mInterval == Millis(0) ? interval : (mInterval + interval) / 2;
   }
-  mLastRise = aNow;
+  mLastVersionAt = aNow;
 }
 
-Millis VersionPace::Interval() const {
-  return mInterval > Millis(0) ? mInterval : mExpected;
+Millis VersionRate::Interval() const {
+  return mInterval > Millis(0) ? mInterval : mExpectedInterval;
 }
 
-bool VersionPace::FitsBound(const StalenessBound& aBound, Millis aDuration,
+bool VersionRate::FitsBound(const StalenessBound& aBound, Millis aDuration,
                             Millis aNow) const {
   const Millis interval = Interval();
-  if (aBound.mVersions < 0 || !mLastRise || interval <= Millis(0)) {
+  if (aBound.mVersions < 0 || !mLastVersionAt || interval <= Millis(0)) {
     return true;
   }
-  const auto rises = [&](Millis aSpan) {
+  const auto newVersions = [&](Millis aSpan) {
     return aSpan.Count() / interval.Count();
   };
-  const Millis elapsed = aNow - *mLastRise;
+  const Millis elapsed = aNow - *mLastVersionAt;
   if (elapsed >= interval) {
     return true;
   }
   const Millis needed = aDuration + kDeliveryMargin;
-  if (rises(elapsed + needed) <= aBound.mVersions) {
+  if (newVersions(elapsed + needed) <= aBound.mVersions) {
     return true;
   }
-  const bool neverFits = rises(needed) > aBound.mVersions;
-  return neverFits && elapsed < interval / kEarlyPart;
+  const bool neverFits = newVersions(needed) > aBound.mVersions;
+  return neverFits && elapsed < interval / kEarlyDivisor;
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/step_estimate.h
+++ b/src/librillwall_coordination/step_estimate.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a step's owner learns while the step runs: how many tokens a group
-/// takes, how long it runs, and how often new weight versions come.
+/// Estimates that the owner of a step makes while the step runs: tokens and
+/// duration of a group, and the interval between new weight versions.
 
 #pragma once
 
@@ -15,15 +15,16 @@
 
 namespace rillwall {
 
-/// Expected tokens of a group by the size of its prompt. Prompts are put into
-/// classes by powers of two; a class with few groups is drawn to the mean of
-/// all, so that one odd group does not set the order.
+/// Estimates the tokens of a group from the size of its prompt. Prompt sizes
+/// are classified by powers of two. The estimate of a class with few groups is
+/// weighted towards the mean of all groups, so that a single outlier does not
+/// determine the order.
 class LengthModel {
  public:
   void Observe(size_t aPromptBytes, int64_t aTokens);
-  /// \return tokens expected; before anything was observed the prompt's size,
-  /// which orders longer prompts first
-  double Expect(size_t aPromptBytes) const;
+  /// \return the expected tokens. Before the first observation the size of the
+  /// prompt in bytes, which puts longer prompts first.
+  double Estimate(size_t aPromptBytes) const;
 
  private:
   struct Class {
@@ -35,44 +36,47 @@
   Class mAll;
 };
 
-/// How long groups run.
+/// Estimates how long groups run.
 class DurationModel {
  public:
   void Observe(Millis aDuration, int64_t aTokens);
   size_t Count() const { return mDurations.size(); }
-  /// \return the median; 0 if nothing was observed
+  /// \return the median duration; 0 if nothing was observed
   Millis Median() const;
-  /// \return the time that this many tokens take; 0 if nothing was observed
-  Millis Expect(double aTokens) const;
+  /// \return the expected duration for this number of tokens; 0 if nothing was
+  /// observed
+  Millis Estimate(double aTokens) const;
 
  private:
-  std::vector<Millis> mDurations;  ///< ordered
+  std::vector<Millis> mDurations;  ///< sorted
   double mTotalMillis = 0;
   double mTotalTokens = 0;
 };
 
-/// How often new weight versions appear while the step runs.
+/// Estimates the interval between new weight versions while the step runs.
 ///
-/// The forecast counts only until the next version is due: a trainer that makes
-/// its next version from this very step waits for the groups that a forecast
-/// would hold back.
-class VersionPace {
+/// The forecast is used only until the next version is due. A trainer that
+/// makes its next version from this step waits for the very groups that the
+/// forecast would hold back.
+class VersionRate {
  public:
   void Observe(int64_t aNewest, Millis aNow);
-  /// The interval seen before the step; 0: not known.
-  void Expect(Millis aInterval) { mExpected = aInterval; }
-  /// \return whether a group begun now would be within the bound when finished
+  /// Sets the interval observed before the step; 0: not known.
+  void SetExpectedInterval(Millis aInterval) { mExpectedInterval = aInterval; }
+  /// \return whether a group that starts now would be within the staleness
+  /// bound when it is delivered
   bool FitsBound(const StalenessBound& aBound, Millis aDuration,
                  Millis aNow) const;
 
  private:
-  /// \return time between versions; 0: not known
+  /// \return interval between versions; 0: not known
   Millis Interval() const;
 
   int64_t mNewest = -1;
-  std::optional<Millis> mLastRise;
-  Millis mInterval{0};  ///< between rises seen here; 0: fewer than two
-  Millis mExpected{0};
+  std::optional<Millis> mLastVersionAt;
+  Millis mInterval{
+      0};  ///< observed during the step; 0: fewer than two new versions
+  Millis mExpectedInterval{0};
 };
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/step_group.h
+++ b/src/librillwall_coordination/step_group.h
@@ -1,5 +1,5 @@
 /// \file
-/// The record of one group in a step's book, and the table of all.
+/// The state of one group of a step, and the table of all groups.
 
 #pragma once
 
@@ -17,32 +17,33 @@
 enum class GroupState { Waiting, Running, Held, Delivered };
 inline constexpr size_t kGroupStates = 4;
 
-/// One run of a group on a runner.
+/// One run of a group on a runner, ordered and not yet finished.
 struct GroupAttempt {
   std::string mRunner;
   uint64_t mAttempt = 0;
   Millis mStartedAt;
-  int64_t mNewestAtStart = -1;  ///< newest version known then; -1: not known
+  int64_t mNewestAtStart = -1;  ///< newest known version; -1: not known
   bool mAdopted = false;        ///< ordered by an earlier owner
-  Millis mSeenAt;               ///< if adopted: when an inventory last named it
+  Millis mLastNamedAt;  ///< if mAdopted: time of the last inventory with it
 };
 
+/// State of one group.
 struct GroupRecord {
   size_t mPromptBytes = 0;
-  uint64_t mLastAttempt = 0;  ///< highest number seen
+  uint64_t mLastAttempt = 0;  ///< highest attempt number seen
   std::vector<GroupAttempt> mAttempts;
-  GroupSummary mHeld;       ///< while Held; its mAge belongs to mFirstToken
-  Millis mFirstToken;       ///< while Held: instant of the oldest first token
-  Millis mHeldAt;           ///< while Held: when the owner learned of it
-  int64_t mSeenTokens = 0;  ///< of an earlier run whose samples were dropped
+  GroupSummary mHeld;  ///< while Held; mAge is relative to mHeldAt
+  Millis mFirstToken;  ///< while Held: time of the oldest first token
+  Millis mHeldAt;      ///< while Held: time at which the owner learned of it
+  int64_t mPreviousTokens = 0;  ///< tokens of an earlier run that was dropped
   int mFailures = 0;
-  Millis mNotBefore;      ///< while Waiting: earliest next run
-  std::string mAvoid;     ///< runner of the last failure
-  bool mPlanned = false;  ///< while Held: named by a plan
+  Millis mNotBefore;         ///< while Waiting: earliest start of the next run
+  std::string mAvoidRunner;  ///< runner that failed last
+  bool mPlanned = false;     ///< while Held: a plan named the group
 
-  /// \return the attempt, or nullptr
+  /// \return the attempt, or nullptr if there is none
   GroupAttempt* Find(std::string_view aRunner, uint64_t aAttempt);
-  /// \return whether this is the attempt that is held
+  /// \return whether the samples of this attempt are held
   bool IsHeldAttempt(std::string_view aRunner, uint64_t aAttempt) const;
   GroupState State() const { return mState; }
 
@@ -51,7 +52,7 @@
   GroupState mState = GroupState::Waiting;
 };
 
-/// All groups of a step, counted by state.
+/// All groups of a step, with the number of groups in each state.
 class GroupTable {
  public:
   explicit GroupTable(const StepSpec& aSpec);
@@ -59,12 +60,12 @@
   GroupRecord& At(size_t aGroup) { return mGroups[aGroup]; }
   const GroupRecord& At(size_t aGroup) const { return mGroups[aGroup]; }
   size_t Count(GroupState aState) const;
-  /// Attempts in flight of all groups.
+  /// \return number of attempts in flight, of all groups
   size_t Attempts() const;
   size_t AttemptsOn(std::string_view aRunner) const;
 
   void SetState(size_t aGroup, GroupState aState);
-  /// Back to Waiting, without attempts or held samples.
+  /// Sets a group to Waiting and clears its attempts and held samples.
   void Requeue(size_t aGroup, Millis aNotBefore);
 
  private:
--- a/src/librillwall_coordination/step_random_test.cpp
+++ b/src/librillwall_coordination/step_random_test.cpp
@@ -1,9 +1,10 @@
 /// \file
-/// Randomised runs of a whole step: runners that die, owners that are replaced
-/// while the old one goes on acting, messages lost and late, new versions.
+/// Randomised tests of a complete step. Runners die, owners are replaced while
+/// the old owner continues to act, messages are lost or delayed, and new weight
+/// versions appear.
 ///
-/// Asserted: the trainer takes in each group exactly once, and no answer made
-/// for it holds a group over the bound. Each run also ends complete once the
+/// Verified: the trainer accepts each group exactly once, no response contains
+/// a group that exceeds the staleness bound, and the step completes after the
 /// faults have stopped.
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -21,14 +22,14 @@
 
 constexpr size_t kGroups = 24;
 constexpr size_t kRunners = 6;
-constexpr int64_t kRoom = 4;
+constexpr int64_t kRunnerCapacity = 4;
 constexpr Millis kTick{100};
 constexpr Millis kFaultsEnd{60000};
 constexpr Millis kEnd{400000};
 const StalenessBound kBound{1, Millis(25000)};
 
-/// The mechanism that a run goes without, to see the check fail.
-enum class Off { Nothing, Extends, Bound };
+/// A mechanism that is disabled, to show that the test detects its absence.
+enum class Disabled { Nothing, Extends, Bound };
 
 struct Sample {
   int64_t mVersion = 0;
@@ -50,59 +51,60 @@
   std::vector<size_t> mGroups;
 };
 
-struct Tally {
-  std::array<int, kGroups> mTaken{};
+struct RunResult {
+  std::array<int, kGroups> mDeliveries{};
   int mStale = 0;
   bool mComplete = false;
 };
 
-class World {
+class Simulation {
  public:
-  World(uint64_t aSeed, Off aOff) : mRandom(aSeed), mOff(aOff) {
+  Simulation(uint64_t aSeed, Disabled aDisabled)
+      : mRandom(aSeed), mDisabled(aDisabled) {
     StepSpec spec{{"letters", 7}, 8, 100, {}, 1};
     for (size_t group = 0; group < kGroups; ++group) {
       spec.mPrompts.emplace_back(1 + mRandom() % 64, 'p');
     }
     mSpec = spec;
     mRule.mStaleness =
-        aOff == Off::Bound ? StalenessBound{-1, Millis(-1)} : kBound;
-    mOwners.push_back(NewBook(false));
+        aDisabled == Disabled::Bound ? StalenessBound{-1, Millis(-1)} : kBound;
+    mOwners.push_back(NewTracker(false));
   }
 
-  Tally Run() {
-    for (; mNow < kEnd && !mTally.mComplete; mNow += kTick) {
+  RunResult Run() {
+    for (; mNow < kEnd && !mResult.mComplete; mNow += kTick) {
       if (mNow < kFaultsEnd) {
-        Fault();
+        InjectFault();
       } else if (mNow == kFaultsEnd) {
-        Mend();
+        RestoreRunners();
       }
       if (OneIn(150)) {
         ++mVersion;
       }
       Deliver();
       Finish();
-      AskRunners();
+      QueryRunners();
       for (const auto& owner : mOwners) {
-        CarryOut(owner, owner->Tick(Rooms(), mVersion, mNow));
+        CarryOut(owner, owner->Tick(Capacities(), mVersion, mNow));
       }
       if (OneIn(4)) {
         Pull();
       }
     }
-    return mTally;
+    return mResult;
   }
 
  private:
-  using Book = std::shared_ptr<StepTracker>;
+  using TrackerPtr = std::shared_ptr<StepTracker>;
 
   bool OneIn(uint64_t aChance) { return mRandom() % aChance == 0; }
   bool Faulty() { return mNow < kFaultsEnd && OneIn(10); }
 
-  Book NewBook(bool aRebuilding) {
+  TrackerPtr NewTracker(bool aRebuilding) {
     return std::make_shared<StepTracker>(mSpec, mRule, aRebuilding, mNow);
   }
 
-  /// Does something later, or never.
+  /// Delivers a message after a random delay, or loses it.
   void Send(std::function<void()> aEffect) {
     const auto delay =
         static_cast<int64_t>(mRandom() % (Faulty() ? 8000 : 300));
@@ -118,12 +120,12 @@
     }
   }
 
-  void Fault() {
+  void InjectFault() {
     if (OneIn(120)) {
       Runner& runner = mRunners[mRandom() % kRunners];
       runner.mSamples.clear();
       runner.mUp = !runner.mUp;
-      TellLost(static_cast<size_t>(&runner - mRunners.data()));
+      ReportLost(static_cast<size_t>(&runner - mRunners.data()));
     }
     if (OneIn(150)) {
       TakeOver();
@@ -133,47 +135,47 @@
     }
   }
 
-  void Mend() {
+  void RestoreRunners() {
     for (Runner& runner : mRunners) {
       runner.mUp = true;
     }
   }
 
-  void TellLost(size_t aRunner) {
-    for (const Book& owner : mOwners) {
+  void ReportLost(size_t aRunner) {
+    for (const TrackerPtr& owner : mOwners) {
       owner->RunnerLost(Name(aRunner), mNow);
     }
   }
 
-  /// A new owner asks the runners, of which some do not answer. The old one
-  /// goes on for a while.
+  /// A new owner requests the inventories of the runners, some of which do not
+  /// respond. The old owner continues for a while.
   void TakeOver() {
-    const Book tracker = NewBook(true);
+    const TrackerPtr tracker = NewTracker(true);
     for (size_t each = 0; each < kRunners; ++each) {
       if (mRunners[each].mUp && !Faulty()) {
-        ShowInventory(each, *tracker);
+        ReportInventory(each, *tracker);
       }
     }
     tracker->Rebuilt(mNow);
     mOwners.push_back(tracker);
   }
 
-  void AskRunners() {
+  void QueryRunners() {
     constexpr int64_t kEvery = 2000;
     if (mNow.Count() % kEvery != 0) {
       return;
     }
-    for (const Book& owner : mOwners) {
+    for (const TrackerPtr& owner : mOwners) {
       for (const std::string& runner : owner->RunnersToAsk()) {
         const size_t index = std::stoul(runner.substr(1));
         if (mRunners[index].mUp && !Faulty()) {
-          ShowInventory(index, *owner);
+          ReportInventory(index, *owner);
         }
       }
     }
   }
 
-  void ShowInventory(size_t aRunner, StepTracker& aTracker) {
+  void ReportInventory(size_t aRunner, StepTracker& aTracker) {
     std::vector<GroupSummary> held;
     std::vector<GroupOrder> running;
     for (const auto& [key, sample] : mRunners[aRunner].mSamples) {
@@ -189,7 +191,7 @@
   static std::string Name(size_t aRunner) {
     return "n" + std::to_string(aRunner);
   }
-  Runner& Of(const std::string& aName) {
+  Runner& RunnerNamed(const std::string& aName) {
     return mRunners[std::stoul(aName.substr(1))];
   }
 
@@ -203,41 +205,44 @@
             100};
   }
 
-  std::vector<RunnerCapacity> Rooms() const {
-    std::vector<RunnerCapacity> rooms;
+  std::vector<RunnerCapacity> Capacities() const {
+    std::vector<RunnerCapacity> capacities;
     for (size_t each = 0; each < kRunners; ++each) {
       const auto used = static_cast<int64_t>(mRunners[each].mSamples.size());
       if (mRunners[each].mUp) {
-        rooms.push_back({Name(each), std::max<int64_t>(kRoom - used, 1)});
+        capacities.push_back(
+            {Name(each), std::max<int64_t>(kRunnerCapacity - used, 1)});
       }
     }
-    return rooms;
+    return capacities;
   }
 
-  void CarryOut(const Book& aOwner, const StepActions& aActions) {
+  void CarryOut(const TrackerPtr& aOwner, const StepActions& aActions) {
     for (const GroupOrder& order : aActions.mRun) {
       Send([this, order] { Begin(order); });
     }
     for (const GroupOrder& order : aActions.mCancel) {
       Send([this, order] {
-        Of(order.mRunner).mSamples.erase({order.mGroup, order.mAttempt});
+        RunnerNamed(order.mRunner)
+            .mSamples.erase({order.mGroup, order.mAttempt});
       });
     }
     for (const GroupOrder& order : aActions.mRelease) {
       Send([this, order] {
-        std::erase_if(Of(order.mRunner).mSamples, [&](const auto& aEntry) {
-          return aEntry.first.first == order.mGroup;
-        });
+        std::erase_if(RunnerNamed(order.mRunner).mSamples,
+                      [&](const auto& aEntry) {
+                        return aEntry.first.first == order.mGroup;
+                      });
       });
     }
-    // The call that orders a group fails when it is lost or its runner is.
+    // The call that orders a group times out if the call or its runner is lost.
     for (const GroupOrder& order : aActions.mRun) {
-      mOpen.push_back({aOwner, order, mNow + Millis(20000)});
+      mOpenCalls.push_back({aOwner, order, mNow + Millis(20000)});
     }
   }
 
   void Begin(const GroupOrder& aOrder) {
-    Runner& runner = Of(aOrder.mRunner);
+    Runner& runner = RunnerNamed(aOrder.mRunner);
     if (!runner.mUp) {
       return;
     }
@@ -254,22 +259,22 @@
         sample.mDone = sample.mDone || mNow >= sample.mFinish;
       }
     }
-    std::vector<OpenCall> open = std::move(mOpen);
-    mOpen.clear();
+    std::vector<OpenCall> open = std::move(mOpenCalls);
+    mOpenCalls.clear();
     for (OpenCall& call : open) {
       Reply(call);
     }
   }
 
   struct OpenCall {
-    Book mOwner;
+    TrackerPtr mOwner;
     GroupOrder mOrder;
     Millis mTimeout;
   };
 
   void Reply(const OpenCall& aCall) {
     const GroupOrder& order = aCall.mOrder;
-    const auto& samples = Of(order.mRunner).mSamples;
+    const auto& samples = RunnerNamed(order.mRunner).mSamples;
     const auto sample = samples.find({order.mGroup, order.mAttempt});
     if (sample != samples.end() && sample->second.mDone && !Faulty()) {
       const size_t runner = std::stoul(order.mRunner.substr(1));
@@ -279,23 +284,23 @@
     } else if (mNow >= aCall.mTimeout) {
       aCall.mOwner->Failed(order.mGroup, order.mRunner, order.mAttempt, mNow);
     } else {
-      mOpen.push_back(aCall);
+      mOpenCalls.push_back(aCall);
     }
   }
 
-  /// The trainer pulls through any node that takes itself for the owner.
+  /// The trainer pulls from any node that believes that it is the owner.
   void Pull() {
-    const Book owner = mOwners[mRandom() % mOwners.size()];
+    const TrackerPtr owner = mOwners[mRandom() % mOwners.size()];
     const std::string held = mReceipt;
     const int64_t version = mVersion;
     Send([this, owner, held, version] {
-      const Answer answer = Make(*owner, owner, held, version);
-      Send([this, answer] { TakeIn(answer); });
+      const Answer answer = MakeAnswer(*owner, owner, held, version);
+      Send([this, answer] { AcceptAnswer(answer); });
     });
   }
 
-  Answer Make(StepTracker& aTracker, const Book& aOwner,
-              const std::string& aReceipt, int64_t aVersion) {
+  Answer MakeAnswer(StepTracker& aTracker, const TrackerPtr& aOwner,
+                    const std::string& aReceipt, int64_t aVersion) {
     Receipt receipt = Receipt::Parse(aReceipt, mSpec.mId, kGroups).value();
     StepActions actions;
     const int64_t newest = std::max(aVersion, mVersion);
@@ -304,7 +309,7 @@
     CarryOut(aOwner, actions);
     Answer answer{aReceipt, "", {}};
     for (const GroupSummary& each : plan.mGroups) {
-      const auto& samples = Of(each.mRunner).mSamples;
+      const auto& samples = RunnerNamed(each.mRunner).mSamples;
       const auto sample = samples.find({each.mGroup, each.mAttempt});
       if (sample == samples.end()) {
         aTracker.Failed(each.mGroup, each.mRunner, each.mAttempt, mNow);
@@ -313,7 +318,7 @@
       const bool fresh =
           WithinStalenessBound(kBound, sample->second.mVersion, newest,
                                mNow - sample->second.mFirstToken);
-      mTally.mStale += fresh ? 0 : 1;
+      mResult.mStale += fresh ? 0 : 1;
       receipt.Add(each.mGroup);
       answer.mGroups.push_back(each.mGroup);
     }
@@ -321,35 +326,35 @@
     return answer;
   }
 
-  void TakeIn(const Answer& aAnswer) {
-    if (mOff != Off::Extends && aAnswer.mExtends != mReceipt) {
+  void AcceptAnswer(const Answer& aAnswer) {
+    if (mDisabled != Disabled::Extends && aAnswer.mExtends != mReceipt) {
       return;
     }
     mReceipt = aAnswer.mReceipt;
     for (const size_t group : aAnswer.mGroups) {
-      ++mTally.mTaken[group];
+      ++mResult.mDeliveries[group];
     }
-    mTally.mComplete =
+    mResult.mComplete =
         Receipt::Parse(mReceipt, mSpec.mId, kGroups).value().Complete();
   }
 
   std::mt19937_64 mRandom;
-  Off mOff;
+  Disabled mDisabled;
   StepSpec mSpec;
   TrainerRule mRule;
   Millis mNow{1000};
   int64_t mVersion = 5;
   std::array<Runner, kRunners> mRunners;
-  std::vector<Book> mOwners;
-  std::vector<OpenCall> mOpen;
+  std::vector<TrackerPtr> mOwners;
+  std::vector<OpenCall> mOpenCalls;
   std::multimap<Millis, std::function<void()>> mMessages;
   std::string mReceipt;
-  Tally mTally;
+  RunResult mResult;
 };
 
-bool ExactlyOnce(const Tally& aTally) {
-  return std::all_of(aTally.mTaken.begin(), aTally.mTaken.end(),
-                     [](int aTimes) { return aTimes == 1; });
+bool ExactlyOnce(const RunResult& aResult) {
+  return std::all_of(aResult.mDeliveries.begin(), aResult.mDeliveries.end(),
+                     [](int aDeliveries) { return aDeliveries == 1; });
 }
 
 }  // namespace
@@ -357,39 +362,40 @@
 class StepRandomTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StepRandomTest);
   CPPUNIT_TEST(EveryGroupOnceAndFresh);
-  CPPUNIT_TEST(SeesMissingExtendsCheck);
-  CPPUNIT_TEST(SeesMissingBound);
+  CPPUNIT_TEST(DetectsMissingExtendsCheck);
+  CPPUNIT_TEST(DetectsMissingBound);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr uint64_t kSeeds = 300;
 
   void EveryGroupOnceAndFresh() {
     for (uint64_t seed = 0; seed < kSeeds; ++seed) {
-      const Tally tally = World(seed, Off::Nothing).Run();
+      const RunResult result = Simulation(seed, Disabled::Nothing).Run();
       const std::string where = "seed " + std::to_string(seed);
-      CPPUNIT_ASSERT_MESSAGE(where, tally.mComplete);
-      CPPUNIT_ASSERT_MESSAGE(where, ExactlyOnce(tally));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(where, 0, tally.mStale);
+      CPPUNIT_ASSERT_MESSAGE(where, result.mComplete);
+      CPPUNIT_ASSERT_MESSAGE(where, ExactlyOnce(result));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(where, 0, result.mStale);
     }
   }
 
-  static int Count(Off aOff, const std::function<bool(const Tally&)>& aSeen) {
+  static int Count(Disabled aDisabled,
+                   const std::function<bool(const RunResult&)>& aSeen) {
     int seen = 0;
     for (uint64_t seed = 0; seed < kSeeds; ++seed) {
-      seen += aSeen(World(seed, aOff).Run()) ? 1 : 0;
+      seen += aSeen(Simulation(seed, aDisabled).Run()) ? 1 : 0;
     }
     return seen;
   }
 
-  void SeesMissingExtendsCheck() {
-    CPPUNIT_ASSERT(Count(Off::Extends, [](const Tally& aTally) {
-                     return !ExactlyOnce(aTally);
+  void DetectsMissingExtendsCheck() {
+    CPPUNIT_ASSERT(Count(Disabled::Extends, [](const RunResult& aResult) {
+                     return !ExactlyOnce(aResult);
                    }) > 0);
   }
 
-  void SeesMissingBound() {
-    CPPUNIT_ASSERT(Count(Off::Bound, [](const Tally& aTally) {
-                     return aTally.mStale > 0;
+  void DetectsMissingBound() {
+    CPPUNIT_ASSERT(Count(Disabled::Bound, [](const RunResult& aResult) {
+                     return aResult.mStale > 0;
                    }) > 0);
   }
 };
--- a/src/librillwall_coordination/step_runners.cpp
+++ b/src/librillwall_coordination/step_runners.cpp
@@ -8,20 +8,22 @@
 
 namespace {
 
-constexpr Millis kRunnerPause{250};
-constexpr Millis kRunnerLongestPause{15000};
+constexpr Millis kRunnerInitialBackoff{250};
+constexpr Millis kRunnerMaxBackoff{15000};
 
 }  // namespace
 
 void RunnerHealth::Failed(std::string_view aRunner, Millis aNow) {
   Record& record = mRecords[std::string(aRunner)];
-  // Groups given before the first failure fail together; they count once.
+  // Groups that were ordered before the first failure fail together and count
+  // as one failure.
   if (aNow < record.mNotBefore) {
     return;
   }
   ++record.mFailures;
   record.mNotBefore =
-      aNow + FailurePause(record.mFailures, kRunnerPause, kRunnerLongestPause);
+      aNow +
+      FailurePause(record.mFailures, kRunnerInitialBackoff, kRunnerMaxBackoff);
 }
 
 void RunnerHealth::Succeeded(std::string_view aRunner) { Forget(aRunner); }
@@ -33,29 +35,29 @@
   }
 }
 
-bool RunnerHealth::Suspect(std::string_view aRunner) const {
+bool RunnerHealth::IsSuspect(std::string_view aRunner) const {
   return mRecords.find(aRunner) != mRecords.end();
 }
 
-int64_t RunnerHealth::Allowed(std::string_view aRunner, int64_t aRoom,
+int64_t RunnerHealth::Allowed(std::string_view aRunner, int64_t aCapacity,
                               int64_t aRunning, Millis aNow) const {
   const auto at = mRecords.find(aRunner);
   if (at == mRecords.end()) {
-    return aRoom;
+    return aCapacity;
   }
   const bool paused = aNow < at->second.mNotBefore;
-  return paused || aRunning > 0 ? 0 : std::min<int64_t>(aRoom, 1);
+  return paused || aRunning > 0 ? 0 : std::min<int64_t>(aCapacity, 1);
 }
 
-RoomPool::RoomPool(std::vector<RunnerCapacity> aRunners) {
-  size_t place = 0;
+CapacityPool::CapacityPool(std::vector<RunnerCapacity> aRunners) {
+  size_t index = 0;
   for (RunnerCapacity& runner : aRunners) {
     mTotal += std::max<int64_t>(runner.mCapacity, 0);
-    Push({std::move(runner), place++});
+    Push({std::move(runner), index++});
   }
 }
 
-std::string RoomPool::Take(std::string_view aAvoid, bool aStrict) {
+std::string CapacityPool::Take(std::string_view aAvoid, bool aStrict) {
   if (mRunners.empty()) {
     return "";
   }
@@ -77,13 +79,13 @@
   return node;
 }
 
-RoomPool::Entry RoomPool::Pop() {
+CapacityPool::Entry CapacityPool::Pop() {
   Entry entry = mRunners.top();
   mRunners.pop();
   return entry;
 }
 
-void RoomPool::Push(Entry aEntry) {
+void CapacityPool::Push(Entry aEntry) {
   if (aEntry.mRunner.mCapacity > 0) {
     mRunners.push(std::move(aEntry));
   }
--- a/src/librillwall_coordination/step_runners.h
+++ b/src/librillwall_coordination/step_runners.h
@@ -1,5 +1,6 @@
 /// \file
-/// The runners of a step: which failed lately, and which takes the next group.
+/// The runners of a step: their recent failures, and the choice of the runner
+/// for the next group.
 
 #pragma once
 
@@ -15,17 +16,20 @@
 
 namespace rillwall {
 
-/// Remembers failures. A runner that failed is left alone for a pause that
-/// doubles, and then tried with one group until one finishes there.
+/// Tracks failures of runners. A runner that failed receives no groups for an
+/// exponential backoff, and then one group at a time until a group finishes
+/// there.
 class RunnerHealth {
  public:
   void Failed(std::string_view aRunner, Millis aNow);
   void Succeeded(std::string_view aRunner);
   void Forget(std::string_view aRunner);
-  /// \return whether the runner failed since a group last finished there
-  bool Suspect(std::string_view aRunner) const;
-  /// \return how many of aRoom groups the runner may be given now
-  int64_t Allowed(std::string_view aRunner, int64_t aRoom, int64_t aRunning,
+  /// \return whether the runner has failed since a group last finished there
+  bool IsSuspect(std::string_view aRunner) const;
+  /// \param aCapacity groups that the runner can start
+  /// \param aRunning groups that it runs
+  /// \return how many groups the runner may receive now
+  int64_t Allowed(std::string_view aRunner, int64_t aCapacity, int64_t aRunning,
                   Millis aNow) const;
 
  private:
@@ -36,34 +40,35 @@
   std::map<std::string, Record, std::less<>> mRecords;
 };
 
-/// Hands out room during one tick, the runner with most room left first; among
-/// equals the one named first by the owner, whose order differs between steps.
-class RoomPool {
+/// Allocates the capacity of the runners during one tick. The runner with the
+/// most free capacity comes first. Among equals the order of the constructor's
+/// argument decides, which differs between steps.
+class CapacityPool {
  public:
-  explicit RoomPool(std::vector<RunnerCapacity> aRunners);
+  explicit CapacityPool(std::vector<RunnerCapacity> aRunners);
   int64_t Total() const { return mTotal; }
-  /// Takes room for one group.
-  /// \param aAvoid a runner taken only if aStrict is false and no other has
-  /// room; empty: none
+  /// Allocates capacity for one group.
+  /// \param aAvoid runner that is chosen only if aStrict is false and no other
+  /// runner has capacity; empty: none
   /// \return the runner; empty if there is none
   std::string Take(std::string_view aAvoid, bool aStrict);
 
  private:
   struct Entry {
     RunnerCapacity mRunner;
-    size_t mPlace = 0;  ///< in the order given
+    size_t mIndex = 0;  ///< in the argument of the constructor
   };
-  struct LessRoom {
+  struct LessCapacity {
     bool operator()(const Entry& aLeft, const Entry& aRight) const {
       return aLeft.mRunner.mCapacity != aRight.mRunner.mCapacity
                  ? aLeft.mRunner.mCapacity < aRight.mRunner.mCapacity
-                 : aLeft.mPlace > aRight.mPlace;
+                 : aLeft.mIndex > aRight.mIndex;
     }
   };
   Entry Pop();
   void Push(Entry aEntry);
 
-  std::priority_queue<Entry, std::vector<Entry>, LessRoom> mRunners;
+  std::priority_queue<Entry, std::vector<Entry>, LessCapacity> mRunners;
   int64_t mTotal = 0;
 };
 
--- a/src/librillwall_coordination/step_scheduler.cpp
+++ b/src/librillwall_coordination/step_scheduler.cpp
@@ -7,49 +7,52 @@
 
 namespace {
 
-/// A group is hedged once it has run this many halves of its expected time.
+/// A group is hedged after 1.5 times its expected duration, counted in halves.
 constexpr int64_t kHedgeHalves = 3;
-/// Finished groups needed before "expected" means anything.
-constexpr size_t kHedgeMinFinished = 3;
-/// Hedges at once: this part of the step's groups, but some in any case.
-constexpr size_t kHedgePart = 8;
-constexpr size_t kHedgeMinimum = 4;
+/// Finished groups needed before the expected duration is used for hedging.
+constexpr size_t kMinFinishedToHedge = 3;
+/// Concurrent hedges: one per this number of groups of the step, but at least
+/// kMinHedges.
+constexpr size_t kHedgeDivisor = 8;
+constexpr size_t kMinHedges = 4;
 
 struct Candidate {
   size_t mGroup = 0;
-  double mOrder = 0;  ///< the greatest goes first
+  double mPriority = 0;  ///< greater values come first
 };
 
-bool GoesFirst(const Candidate& aLeft, const Candidate& aRight) {
-  return aLeft.mOrder != aRight.mOrder ? aLeft.mOrder > aRight.mOrder
-                                       : aLeft.mGroup < aRight.mGroup;
+bool RanksBefore(const Candidate& aLeft, const Candidate& aRight) {
+  return aLeft.mPriority != aRight.mPriority
+             ? aLeft.mPriority > aRight.mPriority
+             : aLeft.mGroup < aRight.mGroup;
 }
 
-/// The room of the runners that may be given groups now.
-std::vector<RunnerCapacity> UsableRooms(const GroupTable& aGroups,
-                                        const RunnerHealth& aHealth,
-                                        const ScheduleInputs& aInputs) {
-  std::vector<RunnerCapacity> rooms = aInputs.mRunners;
-  for (RunnerCapacity& each : rooms) {
-    if (each.mCapacity > 0 && aHealth.Suspect(each.mNode)) {
+/// \return the capacities of the runners, reduced to what RunnerHealth allows
+std::vector<RunnerCapacity> UsableCapacities(const GroupTable& aGroups,
+                                             const RunnerHealth& aHealth,
+                                             const ScheduleInputs& aInputs) {
+  std::vector<RunnerCapacity> capacities = aInputs.mRunners;
+  for (RunnerCapacity& each : capacities) {
+    if (each.mCapacity > 0 && aHealth.IsSuspect(each.mNode)) {
       const auto running = static_cast<int64_t>(aGroups.AttemptsOn(each.mNode));
       each.mCapacity =
           aHealth.Allowed(each.mNode, each.mCapacity, running, aInputs.mNow);
     }
   }
-  return rooms;
+  return capacities;
 }
 
-/// One tick's work.
-class Tick {
+/// The scheduling of one tick.
+class SchedulingPass {
  public:
-  Tick(GroupTable& aGroups, const StepEstimates& aEstimates,
-       const ScheduleInputs& aInputs, std::vector<GroupOrder>& aOrders)
+  SchedulingPass(GroupTable& aGroups, const StepEstimates& aEstimates,
+                 const ScheduleInputs& aInputs,
+                 std::vector<GroupOrder>& aOrders)
       : mGroups(aGroups),
         mEstimates(aEstimates),
         mInputs(aInputs),
         mOrders(aOrders),
-        mPool(UsableRooms(aGroups, aEstimates.mHealth, aInputs)),
+        mPool(UsableCapacities(aGroups, aEstimates.mHealth, aInputs)),
         mBudget(InFlightBudget()) {}
 
   void Run() {
@@ -57,7 +60,8 @@
       return;
     }
     for (const Candidate& each : WaitingGroups()) {
-      if (!Order(each.mGroup, mGroups.At(each.mGroup).mAvoid, false)) {
+      if (!AssignGroup(each.mGroup, mGroups.At(each.mGroup).mAvoidRunner,
+                       false)) {
         return;
       }
     }
@@ -67,15 +71,15 @@
   }
 
  private:
-  /// \return attempts that may still be begun under the rule's limit
+  /// \return attempts that may still start under the rule's limit
   int64_t InFlightBudget() const {
     if (mInputs.mRule.mMaxInFlight <= 0) {
       return std::numeric_limits<int64_t>::max();
     }
     const int64_t size = std::max<int64_t>(mInputs.mGroupSize, 1);
-    const int64_t most =
+    const int64_t limit =
         std::max<int64_t>(mInputs.mRule.mMaxInFlight / size, 1);
-    return most - static_cast<int64_t>(mGroups.Attempts());
+    return limit - static_cast<int64_t>(mGroups.Attempts());
   }
 
   std::vector<Candidate> WaitingGroups() const {
@@ -86,11 +90,11 @@
         waiting.push_back({group, mEstimates.Tokens(record)});
       }
     }
-    const size_t most =
+    const size_t limit =
         std::min({waiting.size(), static_cast<size_t>(mPool.Total()),
                   static_cast<size_t>(mBudget)});
-    const auto end = waiting.begin() + static_cast<std::ptrdiff_t>(most);
-    std::partial_sort(waiting.begin(), end, waiting.end(), GoesFirst);
+    const auto end = waiting.begin() + static_cast<std::ptrdiff_t>(limit);
+    std::partial_sort(waiting.begin(), end, waiting.end(), RanksBefore);
     waiting.erase(end, waiting.end());
     return waiting;
   }
@@ -100,12 +104,12 @@
       return false;
     }
     const Millis duration =
-        mEstimates.mDurations.Expect(mEstimates.Tokens(aGroup));
-    return mEstimates.mPace.FitsBound(mInputs.mRule.mStaleness, duration,
-                                      mInputs.mNow);
+        mEstimates.mDurations.Estimate(mEstimates.Tokens(aGroup));
+    return mEstimates.mVersionRate.FitsBound(mInputs.mRule.mStaleness, duration,
+                                             mInputs.mNow);
   }
 
-  bool Order(size_t aGroup, std::string_view aAvoid, bool aStrict) {
+  bool AssignGroup(size_t aGroup, std::string_view aAvoid, bool aStrict) {
     if (mBudget <= 0) {
       return false;
     }
@@ -125,23 +129,24 @@
 
   void HedgeTail() {
     const bool tail = mGroups.Count(GroupState::Waiting) == 0;
-    if (!tail || mEstimates.mDurations.Count() < kHedgeMinFinished) {
+    if (!tail || mEstimates.mDurations.Count() < kMinFinishedToHedge) {
       return;
     }
     const std::vector<Candidate> late = LateGroups();
-    const size_t most = std::max(mGroups.Size() / kHedgePart, kHedgeMinimum);
+    const size_t limit = std::max(mGroups.Size() / kHedgeDivisor, kMinHedges);
     size_t hedged = mGroups.Attempts() - mGroups.Count(GroupState::Running);
     for (const Candidate& each : late) {
       const std::string first =
           mGroups.At(each.mGroup).mAttempts.front().mRunner;
-      if (hedged >= most || !Order(each.mGroup, first, true)) {
+      if (hedged >= limit || !AssignGroup(each.mGroup, first, true)) {
         return;
       }
       ++hedged;
     }
   }
 
-  /// \return running groups that are late and not hedged, the latest first
+  /// \return running groups that are late and not hedged, the longest-running
+  /// first
   std::vector<Candidate> LateGroups() const {
     std::vector<Candidate> late;
     for (size_t group = 0; group < mGroups.Size(); ++group) {
@@ -154,35 +159,36 @@
         late.push_back({group, static_cast<double>(age.Count())});
       }
     }
-    std::sort(late.begin(), late.end(), GoesFirst);
+    std::sort(late.begin(), late.end(), RanksBefore);
     return late;
   }
 
   Millis Expected(const GroupRecord& aGroup) const {
     const DurationModel& durations = mEstimates.mDurations;
     return std::max(durations.Median(),
-                    durations.Expect(mEstimates.Tokens(aGroup)));
+                    durations.Estimate(mEstimates.Tokens(aGroup)));
   }
 
   GroupTable& mGroups;
   const StepEstimates& mEstimates;
   const ScheduleInputs& mInputs;
   std::vector<GroupOrder>& mOrders;
-  RoomPool mPool;
+  CapacityPool mPool;
   int64_t mBudget;
 };
 
 }  // namespace
 
 double StepEstimates::Tokens(const GroupRecord& aGroup) const {
-  return aGroup.mSeenTokens > 0 ? static_cast<double>(aGroup.mSeenTokens)
-                                : mLengths.Expect(aGroup.mPromptBytes);
+  return aGroup.mPreviousTokens > 0
+             ? static_cast<double>(aGroup.mPreviousTokens)
+             : mLengths.Estimate(aGroup.mPromptBytes);
 }
 
 void ScheduleGroups(GroupTable& aGroups, const StepEstimates& aEstimates,
                     const ScheduleInputs& aInputs,
                     std::vector<GroupOrder>& aOrders) {
-  Tick(aGroups, aEstimates, aInputs, aOrders).Run();
+  SchedulingPass(aGroups, aEstimates, aInputs, aOrders).Run();
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/step_scheduler.h
+++ b/src/librillwall_coordination/step_scheduler.h
@@ -1,5 +1,6 @@
 /// \file
-/// Which groups a step's owner orders next, and from which runners.
+/// Decides which groups the owner of a step orders next, and from which
+/// runners.
 
 #pragma once
 
@@ -12,7 +13,7 @@
 
 namespace rillwall {
 
-/// What the scheduler has learned and must respect.
+/// Rule, capacities and time of one tick.
 struct ScheduleInputs {
   const TrainerRule& mRule;
   const std::vector<RunnerCapacity>& mRunners;
@@ -21,18 +22,19 @@
   Millis mNow;
 };
 
-/// Estimates used and fed by the scheduler.
+/// Estimates that the scheduler uses.
 struct StepEstimates {
   LengthModel mLengths;
   DurationModel mDurations;
-  VersionPace mPace;
+  VersionRate mVersionRate;
   RunnerHealth mHealth;
 
-  /// \return tokens expected of a group, what it took before if known
+  /// \return expected tokens of a group: those of its previous run if known
   double Tokens(const GroupRecord& aGroup) const;
 };
 
-/// Adds the orders of one tick to aOrders and notes them as attempts.
+/// Appends the orders of one tick to aOrders and records them as attempts in
+/// aGroups.
 void ScheduleGroups(GroupTable& aGroups, const StepEstimates& aEstimates,
                     const ScheduleInputs& aInputs,
                     std::vector<GroupOrder>& aOrders);
--- a/src/librillwall_coordination/step_spec.cpp
+++ b/src/librillwall_coordination/step_spec.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The identity of a step and the digest of its contents.
+/// The name of a step's duty and the digest of its specification.
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// Hashes fields with their sizes, so that no two lists of fields look alike.
+/// Hashes texts with their sizes, so that different lists of fields do not
+/// yield the same input.
 class FieldHash {
  public:
   FieldHash() : mState(XXH3_createState()) { XXH3_128bits_reset(mState); }
--- a/src/librillwall_coordination/step_tracker.cpp
+++ b/src/librillwall_coordination/step_tracker.cpp
@@ -1,17 +1,18 @@
 /// \file
-/// The public face of a step's book. What events do to groups stands in
-/// step_ledger, what is ordered next in step_scheduler.
+/// Implements the public interface of StepTracker. step_tracker_state contains
+/// the changes that events make to groups, step_scheduler the choice of the
+/// groups to order.
 
 #include <boost/json.hpp>
 #include <set>
 
 #include "rillwall/step.h"
-#include "step_ledger.h"
+#include "step_tracker_state.h"
 
 namespace rillwall {
 
-struct StepTracker::Impl : StepLedger {
-  using StepLedger::StepLedger;
+struct StepTracker::Impl : StepTrackerState {
+  using StepTrackerState::StepTrackerState;
 };
 
 StepTracker::StepTracker(StepSpec aSpec, TrainerRule aRule, bool aRebuilding,
@@ -28,7 +29,7 @@
 }
 
 void StepTracker::SetVersionInterval(Millis aInterval) {
-  mImpl->mEstimates.mPace.Expect(aInterval);
+  mImpl->mEstimates.mVersionRate.SetExpectedInterval(aInterval);
 }
 
 void StepTracker::Inventory(std::string_view aRunner,
@@ -46,12 +47,12 @@
   for (const GroupOrder& order : aRunning) {
     if (mImpl->Known(order.mGroup)) {
       named.insert(order.mGroup);
-      mImpl->SeeRunning(order.mGroup, aRunner, order.mAttempt, aNow);
+      mImpl->ObserveRunning(order.mGroup, aRunner, order.mAttempt, aNow);
     }
   }
   for (size_t group = 0; group < mImpl->mGroups.Size(); ++group) {
     if (named.count(group) == 0) {
-      mImpl->Missing(group, aRunner, aNow);
+      mImpl->HandleMissing(group, aRunner, aNow);
     }
   }
 }
@@ -76,10 +77,10 @@
 StepActions StepTracker::Tick(const std::vector<RunnerCapacity>& aRunners,
                               int64_t aNewest, Millis aNow) {
   StepActions actions;
-  mImpl->SeeNewest(aNewest, aNow);
+  mImpl->ObserveNewest(aNewest, aNow);
   mImpl->TakePending(actions);
   mImpl->DropAllStale(aNow, actions);
-  mImpl->CancelAllHopeless(aNow, actions);
+  mImpl->CancelAllExpired(aNow, actions);
   if (mImpl->MayOrder(aNow)) {
     const ScheduleInputs inputs{mImpl->mRule, aRunners, mImpl->mSpec.mGroupSize,
                                 mImpl->mNewest, aNow};
@@ -106,15 +107,15 @@
 void StepTracker::RunnerLost(std::string_view aRunner, Millis aNow) {
   mImpl->mEstimates.mHealth.Forget(aRunner);
   for (size_t group = 0; group < mImpl->mGroups.Size(); ++group) {
-    mImpl->LoseGroup(group, aRunner, aNow);
+    mImpl->RequeueLost(group, aRunner, aNow);
   }
 }
 
 PullPlan StepTracker::Plan(const Receipt& aReceipt, int64_t aNewest,
                            size_t aMaxGroups, Millis aNow,
                            StepActions& aActions) {
-  mImpl->Apply(aReceipt, aNow, aActions);
-  mImpl->SeeNewest(aNewest, aNow);
+  mImpl->ApplyReceipt(aReceipt, aNow, aActions);
+  mImpl->ObserveNewest(aNewest, aNow);
   mImpl->DropAllStale(aNow, aActions);
   PullPlan plan;
   plan.mGroups = mImpl->HeldOldestFirst(aNow);
--- a/src/librillwall_coordination/step_ledger.cpp
+++ b/src/librillwall_coordination/step_tracker_state.cpp
@@ -1,4 +1,4 @@
-#include "step_ledger.h"
+#include "step_tracker_state.h"
 
 #include <algorithm>
 #include <tuple>
@@ -9,23 +9,27 @@
 
 namespace {
 
-/// After a takeover: wait this long for a receipt before groups are run that
-/// the trainer may already have.
+/// Time to wait for a receipt after a takeover before groups are ordered,
+/// because the trainer may already have them.
 constexpr Millis kReceiptGrace{5000};
-/// A receipt that names less than the last one may be a late, older pull; its
-/// groups, and planned ones that were lost, are run again only after this.
-constexpr Millis kDoubtDelay{1000};
-/// An inventory may have been taken before the latest orders and reports.
+/// Delay before a group is run again that the trainer may have. This concerns
+/// groups missing from a receipt that names fewer groups than an earlier one,
+/// since it may come from an older pull that arrived late, and planned groups
+/// whose runner was lost.
+constexpr Millis kRerunDelay{1000};
+/// Age below which orders and reports may be missing from an inventory, which
+/// may have been taken before them.
 constexpr Millis kInventoryGrace{10000};
-/// Queueing before the first token that an attempt's age may include.
+/// Queueing time before the first token, added to the age bound of an attempt.
 constexpr Millis kQueueAllowance{30000};
-/// An adopted attempt of which nothing is heard is given up after this.
-constexpr Millis kAdoptedPatience{15000};
-/// Without a pull for this long nothing new is run: a trainer that died must
-/// not have its groups made anew all night as they grow stale.
-constexpr Millis kTrainerSilence{900000};
-constexpr Millis kGroupPause{100};
-constexpr Millis kGroupLongestPause{10000};
+/// An adopted attempt is cancelled if no inventory names it for this long.
+constexpr Millis kAdoptedTimeout{15000};
+/// No group is ordered if the trainer has not pulled for this long. Otherwise
+/// the groups of a dead trainer would be run again and again as they become
+/// stale.
+constexpr Millis kTrainerTimeout{900000};
+constexpr Millis kGroupInitialBackoff{100};
+constexpr Millis kGroupMaxBackoff{10000};
 
 GroupOrder OrderOf(size_t aGroup, const GroupAttempt& aAttempt) {
   return {aGroup, aAttempt.mRunner, aAttempt.mAttempt};
@@ -42,8 +46,8 @@
 
 }  // namespace
 
-StepLedger::StepLedger(StepSpec aSpec, TrainerRule aRule, bool aRebuilding,
-                       Millis aNow)
+StepTrackerState::StepTrackerState(StepSpec aSpec, TrainerRule aRule,
+                                   bool aRebuilding, Millis aNow)
     : mSpec(std::move(aSpec)),
       mRule(std::move(aRule)),
       mOpenedAt(aNow),
@@ -52,23 +56,23 @@
       mTrainerSeenAt(aNow),
       mGroups(mSpec) {}
 
-Millis StepLedger::AgeOf(const GroupRecord& aGroup, Millis aNow) const {
+Millis StepTrackerState::AgeOf(const GroupRecord& aGroup, Millis aNow) const {
   return aNow - aGroup.mFirstToken;
 }
 
-bool StepLedger::Fresh(const GroupRecord& aGroup, Millis aNow) const {
+bool StepTrackerState::IsFresh(const GroupRecord& aGroup, Millis aNow) const {
   return WithinStalenessBound(mRule.mStaleness, aGroup.mHeld.mOldestVersion,
                               mNewest, AgeOf(aGroup, aNow));
 }
 
-void StepLedger::SeeNewest(int64_t aNewest, Millis aNow) {
+void StepTrackerState::ObserveNewest(int64_t aNewest, Millis aNow) {
   mNewest = std::max(mNewest, aNewest);
   if (mGroups.Count(GroupState::Delivered) < mGroups.Size()) {
-    mEstimates.mPace.Observe(mNewest, aNow);
+    mEstimates.mVersionRate.Observe(mNewest, aNow);
   }
 }
 
-void StepLedger::CancelAttempts(size_t aGroup, StepActions& aActions) {
+void StepTrackerState::CancelAttempts(size_t aGroup, StepActions& aActions) {
   GroupRecord& group = mGroups.At(aGroup);
   for (const GroupAttempt& attempt : group.mAttempts) {
     aActions.mCancel.push_back(OrderOf(aGroup, attempt));
@@ -76,25 +80,27 @@
   group.mAttempts.clear();
 }
 
-void StepLedger::DropStale(size_t aGroup, Millis aNow, StepActions& aActions) {
+void StepTrackerState::DropStale(size_t aGroup, Millis aNow,
+                                 StepActions& aActions) {
   GroupRecord& group = mGroups.At(aGroup);
-  group.mSeenTokens = group.mHeld.mTokens;
-  // Not a release, which would also end the group's next run there.
+  group.mPreviousTokens = group.mHeld.mTokens;
+  // A release instead would also end the next run of the group on this runner.
   aActions.mCancel.push_back(OrderOf(group.mHeld));
   mGroups.Requeue(aGroup, aNow);
   ++mStaleDropped;
 }
 
-void StepLedger::DropAllStale(Millis aNow, StepActions& aActions) {
+void StepTrackerState::DropAllStale(Millis aNow, StepActions& aActions) {
   for (size_t group = 0; group < mGroups.Size(); ++group) {
     const GroupRecord& record = mGroups.At(group);
-    if (record.State() == GroupState::Held && !Fresh(record, aNow)) {
+    if (record.State() == GroupState::Held && !IsFresh(record, aNow)) {
       DropStale(group, aNow, aActions);
     }
   }
 }
 
-bool StepLedger::Hopeless(const GroupAttempt& aAttempt, Millis aNow) const {
+bool StepTrackerState::IsExpired(const GroupAttempt& aAttempt,
+                                 Millis aNow) const {
   const StalenessBound& bound = mRule.mStaleness;
   const bool oldVersion = bound.mVersions >= 0 &&
                           aAttempt.mNewestAtStart >= 0 &&
@@ -103,48 +109,49 @@
       bound.mAge >= Millis(0) &&
       aNow - aAttempt.mStartedAt > bound.mAge + kQueueAllowance;
   const bool unheard =
-      aAttempt.mAdopted && aNow - aAttempt.mSeenAt > kAdoptedPatience;
+      aAttempt.mAdopted && aNow - aAttempt.mLastNamedAt > kAdoptedTimeout;
   return oldVersion || tooLong || unheard;
 }
 
-void StepLedger::CancelHopeless(size_t aGroup, Millis aNow,
-                                StepActions& aActions) {
+void StepTrackerState::CancelExpired(size_t aGroup, Millis aNow,
+                                     StepActions& aActions) {
   GroupRecord& group = mGroups.At(aGroup);
-  const auto hopeless = [&](const GroupAttempt& aAttempt) {
-    if (!Hopeless(aAttempt, aNow)) {
+  const auto expired = [&](const GroupAttempt& aAttempt) {
+    if (!IsExpired(aAttempt, aNow)) {
       return false;
     }
     aActions.mCancel.push_back(OrderOf(aGroup, aAttempt));
     ++mGivenUp;
     return true;
   };
-  std::erase_if(group.mAttempts, hopeless);
+  std::erase_if(group.mAttempts, expired);
   if (group.mAttempts.empty()) {
     mGroups.Requeue(aGroup, aNow);
   }
 }
 
-void StepLedger::CancelAllHopeless(Millis aNow, StepActions& aActions) {
+void StepTrackerState::CancelAllExpired(Millis aNow, StepActions& aActions) {
   for (size_t group = 0; group < mGroups.Size(); ++group) {
     if (mGroups.At(group).State() == GroupState::Running) {
-      CancelHopeless(group, aNow, aActions);
+      CancelExpired(group, aNow, aActions);
     }
   }
 }
 
-void StepLedger::TakePending(StepActions& aActions) {
+void StepTrackerState::TakePending(StepActions& aActions) {
   Append(aActions.mCancel, mPending.mCancel);
   Append(aActions.mRelease, mPending.mRelease);
 }
 
-bool StepLedger::MayOrder(Millis aNow) const {
+bool StepTrackerState::MayOrder(Millis aNow) const {
   const bool knowsReceipt =
-      !mTookOver || mReceiptSeen || aNow - mRebuiltAt >= kReceiptGrace;
-  const bool trainerLives = aNow - mTrainerSeenAt < kTrainerSilence;
-  return !mRebuilding && knowsReceipt && trainerLives;
+      !mTookOver || mReceiptReceived || aNow - mRebuiltAt >= kReceiptGrace;
+  const bool trainerActive = aNow - mTrainerSeenAt < kTrainerTimeout;
+  return !mRebuilding && knowsReceipt && trainerActive;
 }
 
-void StepLedger::Learn(const GroupSummary& aSummary, Millis aNow) {
+void StepTrackerState::UpdateEstimates(const GroupSummary& aSummary,
+                                       Millis aNow) {
   GroupRecord& group = mGroups.At(aSummary.mGroup);
   mEstimates.mLengths.Observe(group.mPromptBytes, aSummary.mTokens);
   const GroupAttempt* attempt = group.Find(aSummary.mRunner, aSummary.mAttempt);
@@ -154,7 +161,7 @@
   mEstimates.mHealth.Succeeded(aSummary.mRunner);
 }
 
-void StepLedger::Hold(const GroupSummary& aSummary, Millis aNow) {
+void StepTrackerState::Hold(const GroupSummary& aSummary, Millis aNow) {
   GroupRecord& group = mGroups.At(aSummary.mGroup);
   group.mHeld = aSummary;
   group.mFirstToken = aNow - aSummary.mAge;
@@ -164,22 +171,22 @@
   mGroups.SetState(aSummary.mGroup, GroupState::Held);
 }
 
-bool StepLedger::Moved(const GroupRecord& aGroup,
-                       const GroupSummary& aSummary) {
+bool StepTrackerState::WasHandedOver(const GroupRecord& aGroup,
+                                     const GroupSummary& aSummary) {
   return aGroup.State() == GroupState::Held &&
          aGroup.mHeld.mAttempt == aSummary.mAttempt &&
          aGroup.mHeld.mOldestVersion == aSummary.mOldestVersion &&
          aGroup.mHeld.mTokens == aSummary.mTokens;
 }
 
-void StepLedger::Finished(const GroupSummary& aSummary, Millis aNow,
-                          StepActions& aActions) {
+void StepTrackerState::Finished(const GroupSummary& aSummary, Millis aNow,
+                                StepActions& aActions) {
   GroupRecord& group = mGroups.At(aSummary.mGroup);
   group.mLastAttempt = std::max(group.mLastAttempt, aSummary.mAttempt);
   if (group.IsHeldAttempt(aSummary.mRunner, aSummary.mAttempt)) {
     return;
   }
-  if (Moved(group, aSummary)) {
+  if (WasHandedOver(group, aSummary)) {
     group.mHeld.mRunner = aSummary.mRunner;
     return;
   }
@@ -188,20 +195,20 @@
     aActions.mCancel.push_back(OrderOf(aSummary));
     return;
   }
-  Learn(aSummary, aNow);
+  UpdateEstimates(aSummary, aNow);
   std::erase_if(group.mAttempts, [&](const GroupAttempt& aEach) {
     return aEach.mRunner == aSummary.mRunner &&
            aEach.mAttempt == aSummary.mAttempt;
   });
   CancelAttempts(aSummary.mGroup, aActions);
   Hold(aSummary, aNow);
-  if (!Fresh(group, aNow)) {
+  if (!IsFresh(group, aNow)) {
     DropStale(aSummary.mGroup, aNow, aActions);
   }
 }
 
-void StepLedger::Failed(size_t aGroup, std::string_view aRunner,
-                        uint64_t aAttempt, Millis aNow) {
+void StepTrackerState::Failed(size_t aGroup, std::string_view aRunner,
+                              uint64_t aAttempt, Millis aNow) {
   GroupRecord& group = mGroups.At(aGroup);
   if (group.IsHeldAttempt(aRunner, aAttempt)) {
     mGroups.Requeue(aGroup, aNow);
@@ -210,18 +217,18 @@
   if (group.Find(aRunner, aAttempt) == nullptr) {
     return;
   }
-  // The order's call may have failed while the runner goes on.
+  // The call that ordered the run may have failed while the runner continues.
   mPending.mCancel.push_back({aGroup, std::string(aRunner), aAttempt});
   mEstimates.mHealth.Failed(aRunner, aNow);
   ++group.mFailures;
-  group.mAvoid = aRunner;
-  RemoveAttempt(
-      aGroup, aRunner, aAttempt,
-      aNow + FailurePause(group.mFailures, kGroupPause, kGroupLongestPause));
+  group.mAvoidRunner = aRunner;
+  RemoveAttempt(aGroup, aRunner, aAttempt,
+                aNow + FailurePause(group.mFailures, kGroupInitialBackoff,
+                                    kGroupMaxBackoff));
 }
 
-void StepLedger::RemoveAttempt(size_t aGroup, std::string_view aRunner,
-                               uint64_t aAttempt, Millis aNotBefore) {
+void StepTrackerState::RemoveAttempt(size_t aGroup, std::string_view aRunner,
+                                     uint64_t aAttempt, Millis aNotBefore) {
   GroupRecord& group = mGroups.At(aGroup);
   std::erase_if(group.mAttempts, [&](const GroupAttempt& aEach) {
     return aEach.mRunner == aRunner && aEach.mAttempt == aAttempt;
@@ -231,12 +238,12 @@
   }
 }
 
-void StepLedger::LoseGroup(size_t aGroup, std::string_view aRunner,
-                           Millis aNow) {
+void StepTrackerState::RequeueLost(size_t aGroup, std::string_view aRunner,
+                                   Millis aNow) {
   GroupRecord& group = mGroups.At(aGroup);
   if (group.State() == GroupState::Held && group.mHeld.mRunner == aRunner) {
-    const Millis doubt = group.mPlanned ? kDoubtDelay : Millis(0);
-    mGroups.Requeue(aGroup, aNow + doubt);
+    const Millis delay = group.mPlanned ? kRerunDelay : Millis(0);
+    mGroups.Requeue(aGroup, aNow + delay);
     return;
   }
   const size_t erased = std::erase_if(
@@ -247,8 +254,8 @@
   }
 }
 
-void StepLedger::SeeRunning(size_t aGroup, std::string_view aRunner,
-                            uint64_t aAttempt, Millis aNow) {
+void StepTrackerState::ObserveRunning(size_t aGroup, std::string_view aRunner,
+                                      uint64_t aAttempt, Millis aNow) {
   GroupRecord& group = mGroups.At(aGroup);
   group.mLastAttempt = std::max(group.mLastAttempt, aAttempt);
   const bool wanted = group.State() == GroupState::Waiting ||
@@ -259,7 +266,7 @@
   }
   GroupAttempt* known = group.Find(aRunner, aAttempt);
   if (known != nullptr) {
-    known->mSeenAt = aNow;
+    known->mLastNamedAt = aNow;
     return;
   }
   group.mAttempts.push_back(
@@ -267,7 +274,8 @@
   mGroups.SetState(aGroup, GroupState::Running);
 }
 
-void StepLedger::Missing(size_t aGroup, std::string_view aRunner, Millis aNow) {
+void StepTrackerState::HandleMissing(size_t aGroup, std::string_view aRunner,
+                                     Millis aNow) {
   GroupRecord& group = mGroups.At(aGroup);
   const Millis before = aNow - kInventoryGrace;
   if (group.State() == GroupState::Held && group.mHeld.mRunner == aRunner &&
@@ -285,7 +293,7 @@
   }
 }
 
-void StepLedger::Deliver(size_t aGroup, StepActions& aActions) {
+void StepTrackerState::Deliver(size_t aGroup, StepActions& aActions) {
   if (mGroups.At(aGroup).State() == GroupState::Delivered) {
     return;
   }
@@ -296,20 +304,20 @@
   mGroups.SetState(aGroup, GroupState::Delivered);
 }
 
-void StepLedger::Apply(const Receipt& aReceipt, Millis aNow,
-                       StepActions& aActions) {
-  mReceiptSeen = true;
+void StepTrackerState::ApplyReceipt(const Receipt& aReceipt, Millis aNow,
+                                    StepActions& aActions) {
+  mReceiptReceived = true;
   mTrainerSeenAt = aNow;
   for (size_t group = 0; group < mGroups.Size(); ++group) {
     if (aReceipt.Has(group)) {
       Deliver(group, aActions);
     } else if (mGroups.At(group).State() == GroupState::Delivered) {
-      mGroups.Requeue(group, aNow + kDoubtDelay);
+      mGroups.Requeue(group, aNow + kRerunDelay);
     }
   }
 }
 
-std::vector<GroupSummary> StepLedger::HeldOldestFirst(Millis aNow) const {
+std::vector<GroupSummary> StepTrackerState::HeldOldestFirst(Millis aNow) const {
   std::vector<GroupSummary> held;
   for (size_t group = 0; group < mGroups.Size(); ++group) {
     const GroupRecord& record = mGroups.At(group);
--- a/src/librillwall_coordination/step_tracker_test.cpp
+++ b/src/librillwall_coordination/step_tracker_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of a step owner's book, one behaviour each.
+/// Tests of StepTracker: orders, deliveries, failures and takeovers.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -39,23 +39,23 @@
 
 class StepTrackerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StepTrackerTest);
-  CPPUNIT_TEST(OrdersLongestFirstWithinRoom);
+  CPPUNIT_TEST(OrdersLongestFirstWithinCapacity);
   CPPUNIT_TEST(RespectsInFlightLimit);
   CPPUNIT_TEST(DeliversAndReleases);
-  CPPUNIT_TEST(DropsStaleAndMakesAnew);
-  CPPUNIT_TEST(CancelsRunsThatCannotBeFresh);
+  CPPUNIT_TEST(DropsStaleGroupAndRunsItAgain);
+  CPPUNIT_TEST(CancelsRunsThatWouldBeStale);
   CPPUNIT_TEST(HedgesTheTailAndCancelsTheLoser);
-  CPPUNIT_TEST(FailingRunnerIsLeftAlone);
+  CPPUNIT_TEST(FailingRunnerIsBackedOff);
   CPPUNIT_TEST(LostRunnerRequeuesItsGroupsOnly);
   CPPUNIT_TEST(RebuildsFromInventories);
-  CPPUNIT_TEST(GivesUpAdoptedRunsUnheardOf);
+  CPPUNIT_TEST(CancelsAdoptedRunsThatNoInventoryNames);
   CPPUNIT_TEST(WaitsForReceiptAfterTakeover);
-  CPPUNIT_TEST(HoldsBackWhatWouldBeStale);
-  CPPUNIT_TEST(HandedOverGroupIsFollowed);
-  CPPUNIT_TEST(SilentTrainerGetsNothingNew);
+  CPPUNIT_TEST(DelaysGroupsThatWouldBeStale);
+  CPPUNIT_TEST(HandedOverGroupStaysHeld);
+  CPPUNIT_TEST(SilentTrainerGetsNoNewGroups);
   CPPUNIT_TEST_SUITE_END();
 
-  void OrdersLongestFirstWithinRoom() {
+  void OrdersLongestFirstWithinCapacity() {
     StepTracker tracker(SpecOf({"a", "aaaa", "aa"}), Rule(), false, kStart);
     const StepActions actions = tracker.Tick({{"n1", 1}, {"n2", 1}}, 5, kStart);
     const std::vector<GroupOrder> expected = {{1, "n1", 1}, {2, "n2", 1}};
@@ -82,19 +82,19 @@
     PullPlan plan = tracker.Plan(ReceiptOf(tracker, {}), 5, 9, kStart, actions);
     CPPUNIT_ASSERT_EQUAL(run[1].mGroup, plan.mGroups[0].mGroup);
     CPPUNIT_ASSERT(!plan.mComplete);
-    // The answer was lost: the same receipt gets the same groups.
+    // If the response was lost, the same receipt yields the same groups.
     plan = tracker.Plan(ReceiptOf(tracker, {}), 5, 9, kStart, actions);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, plan.mGroups.size());
     CPPUNIT_ASSERT(actions.mRelease.empty());
     plan = tracker.Plan(ReceiptOf(tracker, {0, 1}), 5, 9, kStart, actions);
     CPPUNIT_ASSERT(plan.mComplete && plan.mGroups.empty());
     CPPUNIT_ASSERT_EQUAL(size_t{2}, actions.mRelease.size());
-    // A receipt of an earlier state: the trainer lacks a group again.
+    // An older receipt: a group that was received is missing again.
     tracker.Plan(ReceiptOf(tracker, {0}), 5, 9, kStart, actions);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, tracker.Waiting());
   }
 
-  void DropsStaleAndMakesAnew() {
+  void DropsStaleGroupAndRunsItAgain() {
     StepTracker tracker(SpecOf({"a"}), Rule(), false, kStart);
     const auto run = tracker.Tick({{"n1", 1}}, 5, kStart).mRun;
     tracker.Finished(Done(run[0], 5), kStart);
@@ -108,7 +108,7 @@
     CPPUNIT_ASSERT(tracker.Tick({{"n1", 1}}, 7, kStart).mRun == again);
   }
 
-  void CancelsRunsThatCannotBeFresh() {
+  void CancelsRunsThatWouldBeStale() {
     StepTracker tracker(SpecOf({"a"}), Rule(), false, kStart);
     const auto run = tracker.Tick({{"n1", 1}}, 5, kStart).mRun;
     CPPUNIT_ASSERT(tracker.Tick({}, 6, kStart).mCancel.empty());
@@ -124,35 +124,38 @@
     for (size_t each = 0; each < 3; ++each) {
       tracker.Finished(Done(run[each]), finish);
     }
-    const std::vector<RunnerCapacity> rooms = {{"n1", 9}, {"n2", 1}};
-    CPPUNIT_ASSERT(tracker.Tick(rooms, 5, finish).mRun.empty());
+    const std::vector<RunnerCapacity> capacities = {{"n1", 9}, {"n2", 1}};
+    CPPUNIT_ASSERT(tracker.Tick(capacities, 5, finish).mRun.empty());
     const Millis late = kStart + Millis(3000);
-    const auto hedge = tracker.Tick(rooms, 5, late).mRun;
+    const auto hedge = tracker.Tick(capacities, 5, late).mRun;
     const std::vector<GroupOrder> expected = {{run[3].mGroup, "n2", 2}};
     CPPUNIT_ASSERT(hedge == expected);
-    CPPUNIT_ASSERT(tracker.Tick(rooms, 5, late).mRun.empty());
+    CPPUNIT_ASSERT(tracker.Tick(capacities, 5, late).mRun.empty());
     CPPUNIT_ASSERT(tracker.Finished(Done(hedge[0]), late).mCancel[0] == run[3]);
-    // The loser finished all the same: it is dropped where it lies.
+    // The other run finishes despite the cancellation; its samples are dropped.
     CPPUNIT_ASSERT(tracker.Finished(Done(run[3]), late).mCancel[0] == run[3]);
     CPPUNIT_ASSERT_EQUAL(size_t{4}, tracker.Held());
   }
 
-  void FailingRunnerIsLeftAlone() {
+  void FailingRunnerIsBackedOff() {
     StepTracker tracker(SpecOf({"a", "b", "c"}), Rule(), false, kStart);
-    const std::vector<RunnerCapacity> rooms = {{"n1", 3}};
-    const auto run = tracker.Tick(rooms, 5, kStart).mRun;
+    const std::vector<RunnerCapacity> capacities = {{"n1", 3}};
+    const auto run = tracker.Tick(capacities, 5, kStart).mRun;
     for (const GroupOrder& order : run) {
       tracker.Failed(order.mGroup, order.mRunner, order.mAttempt, kStart);
     }
-    const StepActions paused = tracker.Tick(rooms, 5, kStart + Millis(200));
+    const StepActions paused =
+        tracker.Tick(capacities, 5, kStart + Millis(200));
     CPPUNIT_ASSERT(paused.mRun.empty());
     CPPUNIT_ASSERT(paused.mCancel == run);
-    const auto probe = tracker.Tick(rooms, 5, kStart + Millis(250)).mRun;
+    const auto probe = tracker.Tick(capacities, 5, kStart + Millis(250)).mRun;
     CPPUNIT_ASSERT_EQUAL(size_t{1}, probe.size());
-    CPPUNIT_ASSERT(tracker.Tick(rooms, 5, kStart + Millis(900)).mRun.empty());
+    CPPUNIT_ASSERT(
+        tracker.Tick(capacities, 5, kStart + Millis(900)).mRun.empty());
     tracker.Finished(Done(probe[0]), kStart + Millis(900));
     CPPUNIT_ASSERT_EQUAL(
-        size_t{2}, tracker.Tick(rooms, 5, kStart + Millis(900)).mRun.size());
+        size_t{2},
+        tracker.Tick(capacities, 5, kStart + Millis(900)).mRun.size());
   }
 
   void LostRunnerRequeuesItsGroupsOnly() {
@@ -167,8 +170,8 @@
 
   void RebuildsFromInventories() {
     StepTracker tracker(SpecOf({"a", "b", "c"}), Rule(), true, kStart);
-    const std::vector<RunnerCapacity> rooms = {{"n1", 9}};
-    CPPUNIT_ASSERT(tracker.Tick(rooms, 5, kStart).mRun.empty());
+    const std::vector<RunnerCapacity> capacities = {{"n1", 9}};
+    CPPUNIT_ASSERT(tracker.Tick(capacities, 5, kStart).mRun.empty());
     tracker.Inventory("n1", {Done({0, "", 4})}, {{1, "", 2}}, kStart);
     tracker.Inventory("n2", {Done({0, "", 3})}, {}, kStart);
     tracker.Rebuilt(kStart);
@@ -177,14 +180,14 @@
         tracker.Plan(ReceiptOf(tracker, {}), 5, 9, kStart, actions);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, plan.mGroups.size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{4}, plan.mGroups[0].mAttempt);
-    actions = tracker.Tick(rooms, 5, kStart);
+    actions = tracker.Tick(capacities, 5, kStart);
     const std::vector<GroupOrder> run = {{2, "n1", 1}};
     const std::vector<GroupOrder> cancel = {{0, "n2", 3}};
     CPPUNIT_ASSERT(actions.mRun == run);
     CPPUNIT_ASSERT(actions.mCancel == cancel);
   }
 
-  void GivesUpAdoptedRunsUnheardOf() {
+  void CancelsAdoptedRunsThatNoInventoryNames() {
     StepTracker tracker(SpecOf({"a"}), Rule(), true, kStart);
     tracker.Inventory("n1", {}, {{0, "", 1}}, kStart);
     tracker.Rebuilt(kStart);
@@ -200,36 +203,41 @@
 
   void WaitsForReceiptAfterTakeover() {
     StepTracker tracker(SpecOf({"a", "b"}), Rule(), true, kStart);
-    const std::vector<RunnerCapacity> rooms = {{"n1", 9}};
+    const std::vector<RunnerCapacity> capacities = {{"n1", 9}};
     tracker.Rebuilt(kStart);
-    CPPUNIT_ASSERT(tracker.Tick(rooms, 5, kStart).mRun.empty());
+    CPPUNIT_ASSERT(tracker.Tick(capacities, 5, kStart).mRun.empty());
     StepActions actions;
     tracker.Plan(ReceiptOf(tracker, {1}), 5, 9, kStart, actions);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, tracker.Tick(rooms, 5, kStart).mRun.size());
-    StepTracker unasked(SpecOf({"a", "b"}), Rule(), true, kStart);
-    unasked.Rebuilt(kStart);
+    CPPUNIT_ASSERT_EQUAL(size_t{1},
+                         tracker.Tick(capacities, 5, kStart).mRun.size());
+    StepTracker unpulled(SpecOf({"a", "b"}), Rule(), true, kStart);
+    unpulled.Rebuilt(kStart);
     CPPUNIT_ASSERT_EQUAL(
-        size_t{2}, unasked.Tick(rooms, 5, kStart + Millis(5000)).mRun.size());
+        size_t{2},
+        unpulled.Tick(capacities, 5, kStart + Millis(5000)).mRun.size());
   }
 
-  void HoldsBackWhatWouldBeStale() {
+  void DelaysGroupsThatWouldBeStale() {
     TrainerRule rule = Rule();
     rule.mStaleness.mVersions = 0;
     StepTracker tracker(SpecOf({"a", "b"}), rule, false, kStart);
-    const std::vector<RunnerCapacity> rooms = {{"n1", 1}};
-    // New versions come every 60 s; a group takes 30 s.
+    const std::vector<RunnerCapacity> capacities = {{"n1", 1}};
+    // New versions appear every 60 s; a group takes 30 s.
     tracker.Tick({}, 5, kStart);
     tracker.Tick({}, 6, kStart + Millis(60000));
     const Millis rise = kStart + Millis(120000);
-    const auto run = tracker.Tick(rooms, 7, rise).mRun;
+    const auto run = tracker.Tick(capacities, 7, rise).mRun;
     tracker.Finished(Done(run[0], 7), rise + Millis(30000));
-    CPPUNIT_ASSERT(tracker.Tick(rooms, 7, rise + Millis(40000)).mRun.empty());
-    // The version is overdue: the trainer may be waiting for this group.
+    CPPUNIT_ASSERT(
+        tracker.Tick(capacities, 7, rise + Millis(40000)).mRun.empty());
+    // The next version is overdue, as the trainer may be waiting for this
+    // group.
     CPPUNIT_ASSERT_EQUAL(
-        size_t{1}, tracker.Tick(rooms, 7, rise + Millis(61000)).mRun.size());
+        size_t{1},
+        tracker.Tick(capacities, 7, rise + Millis(61000)).mRun.size());
   }
 
-  void SilentTrainerGetsNothingNew() {
+  void SilentTrainerGetsNoNewGroups() {
     StepTracker tracker(SpecOf({"a"}), Rule(), false, kStart);
     const Millis later = kStart + Millis(900000);
     CPPUNIT_ASSERT(tracker.Tick({{"n1", 1}}, 5, later).mRun.empty());
@@ -239,7 +247,7 @@
                          tracker.Tick({{"n1", 1}}, 5, later).mRun.size());
   }
 
-  void HandedOverGroupIsFollowed() {
+  void HandedOverGroupStaysHeld() {
     StepTracker tracker(SpecOf({"a"}), Rule(), false, kStart);
     const auto run = tracker.Tick({{"n1", 1}}, 5, kStart).mRun;
     tracker.Finished(Done(run[0]), kStart);
--- a/src/librillwall_coordination/swap_plan.cpp
+++ b/src/librillwall_coordination/swap_plan.cpp
@@ -4,14 +4,14 @@
 #include <boost/json.hpp>
 #include <map>
 
-#include "swap_track.h"
+#include "swap_progress.h"
 
 namespace rillwall {
 
 namespace {
 
-/// An engine's place in the order.
-struct EnginePlace {
+/// Rank of an engine, and the time at which it joined the list of engines.
+struct EngineSchedule {
   int64_t mRank = 0;
   Millis mFirstSeen;
 };
@@ -31,18 +31,19 @@
 
 struct SwapPlan::Impl {
   explicit Impl(SwapLimits aLimits)
-      : mLimits(aLimits), mLoad(aLimits.mFirstLoad) {}
+      : mLimits(aLimits), mLoadTime(aLimits.mInitialLoadTime) {}
 
-  void NotePause(Millis aNow) {
-    if (mTicked && aNow - mLastTick >= mLimits.mPauseGap) {
+  void DetectPause(Millis aNow) {
+    if (mTicked && aNow - mLastTick >= mLimits.mPauseThreshold) {
       mResumedAt = aNow;
     }
     mTicked = true;
     mLastTick = aNow;
   }
 
-  /// Ranks and spacing stay as they are until the version or the list of
-  /// engines changes, so that no engine's instant moves as loads are measured.
+  /// Recomputes ranks and spacing when the version or the list of engines has
+  /// changed. In between they stay constant, so that measured load times do not
+  /// move the scheduled starts.
   void RefreshRanks(const SwapInputs& aInputs, Millis aNow) {
     std::vector<std::string> ids = RankedIds(aInputs);
     if (ids == mIds && aInputs.mNewest.mVersion == mRankedVersion) {
@@ -51,79 +52,84 @@
     mRankedVersion = aInputs.mNewest.mVersion;
     mIds = std::move(ids);
     mSpacing = SwapSpacing(mLimits, aInputs.mRule, aInputs.mNewest.mBytes,
-                           mIds.size(), mLoad);
+                           mIds.size(), mLoadTime);
     const std::vector<std::string> ranked = SwapRanks(mIds, mRankedVersion);
-    std::map<std::string, EnginePlace> places;
+    std::map<std::string, EngineSchedule> schedules;
     for (size_t rank = 0; rank < ranked.size(); ++rank) {
-      const auto known = mPlaces.find(ranked[rank]);
-      const Millis seen = mPlaces.empty()          ? Millis(0)
-                          : known == mPlaces.end() ? aNow
-                                                   : known->second.mFirstSeen;
-      places[ranked[rank]] = {static_cast<int64_t>(rank), seen};
+      const auto known = mSchedules.find(ranked[rank]);
+      const Millis seen = mSchedules.empty() ? Millis(0)
+                          : known == mSchedules.end()
+                              ? aNow
+                              : known->second.mFirstSeen;
+      schedules[ranked[rank]] = {static_cast<int64_t>(rank), seen};
     }
-    mPlaces = std::move(places);
-    std::erase_if(mTracks, [this](const auto& aEntry) {
-      return mPlaces.find(aEntry.first) == mPlaces.end();
+    mSchedules = std::move(schedules);
+    std::erase_if(mProgress, [this](const auto& aEntry) {
+      return mSchedules.find(aEntry.first) == mSchedules.end();
     });
   }
 
-  SwapTrack& TrackOf(const std::string& aId) {
-    return mTracks.try_emplace(aId, mLimits).first->second;
+  SwapProgress& ProgressOf(const std::string& aId) {
+    return mProgress.try_emplace(aId, mLimits).first->second;
   }
 
-  /// \return the instant at which an engine's first order is due; an engine
-  /// that joined after the version was learned waits for none
-  Millis Slot(const std::string& aId, const WeightsFact& aNewest) const {
-    const EnginePlace& place = mPlaces.at(aId);
-    const bool joinedLater = place.mFirstSeen > aNewest.mLearnedAt;
-    return joinedLater ? place.mFirstSeen
-                       : aNewest.mLearnedAt + mSpacing * place.mRank;
+  /// \return time at which the first order for an engine is due. For an engine
+  /// that joined after the version was learned, the time at which it joined.
+  Millis ScheduledStart(const std::string& aId,
+                        const NewestWeights& aNewest) const {
+    const EngineSchedule& schedule = mSchedules.at(aId);
+    const bool joinedLater = schedule.mFirstSeen > aNewest.mLearnedAt;
+    return joinedLater ? schedule.mFirstSeen
+                       : aNewest.mLearnedAt + mSpacing * schedule.mRank;
   }
 
-  /// Whether what is known of the engine and of this node's authority is newer
-  /// than this node's last pause.
-  bool KnownSincePause(const SwapInputs& aInputs, const LoadReport& aReport) {
+  /// \return whether the report of the engine, and the confirmation of the
+  /// fencing numbers if the engine ignores them, are newer than the last pause
+  /// of this node
+  bool ConfirmedSincePause(const SwapInputs& aInputs,
+                           const LoadReport& aReport) {
     const bool fences = !aInputs.mRule.mFenceIgnored ||
                         aInputs.mFencesConfirmedAt >= mResumedAt;
     mNeedsFenceCheck = mNeedsFenceCheck || !fences;
     return fences && aReport.mAt >= mResumedAt;
   }
 
-  void Follow(const SwapInputs& aInputs, const SwapEngine& aEngine, Millis aNow,
-              std::vector<SwapOrder>& aOrders) {
-    SwapTrack& track = TrackOf(aEngine.mId);
-    if (track.Wanted() != aInputs.mNewest.mVersion) {
-      track.Want(aInputs.mNewest.mVersion);
+  void UpdateEngine(const SwapInputs& aInputs, const SwapEngine& aEngine,
+                    Millis aNow, std::vector<SwapOrder>& aOrders) {
+    SwapProgress& progress = ProgressOf(aEngine.mId);
+    if (progress.TargetVersion() != aInputs.mNewest.mVersion) {
+      progress.SetTarget(aInputs.mNewest.mVersion);
     }
     if (!aEngine.mReport) {
       ++mBehind;
       return;
     }
-    track.Observe(*aEngine.mReport, aNow, mCounts);
-    LearnLoad(track.TakeLoadTime());
-    if (track.Phase() == SwapPhase::Reached) {
+    progress.Observe(*aEngine.mReport, aNow, mCounts);
+    UpdateLoadTime(progress.TakeLoadTime());
+    if (progress.Phase() == SwapPhase::Reached) {
       return;
     }
     ++mBehind;
-    const Millis slot = Slot(aEngine.mId, aInputs.mNewest);
-    const bool may = track.MaySend(aEngine.mFence, slot, aNow) &&
-                     KnownSincePause(aInputs, *aEngine.mReport);
-    if (may) {
-      track.Send(aNow, mCounts);
+    const Millis start = ScheduledStart(aEngine.mId, aInputs.mNewest);
+    const bool mayOrder = progress.MaySend(aEngine.mFence, start, aNow) &&
+                          ConfirmedSincePause(aInputs, *aEngine.mReport);
+    if (mayOrder) {
+      progress.Send(aNow, mCounts);
       aOrders.push_back(
           {aEngine.mId, aInputs.mNewest.mVersion, aEngine.mFence});
     }
   }
 
-  /// Slow loads count at once, fast ones by and by.
-  void LearnLoad(Millis aLoad) {
-    if (aLoad > Millis(0)) {
-      mLoad = std::max(aLoad, (mLoad * 3 + aLoad) / 4);
+  /// Updates the estimate of the load time: a longer load raises it at once,
+  /// shorter loads lower it gradually.
+  void UpdateLoadTime(Millis aLoadTime) {
+    if (aLoadTime > Millis(0)) {
+      mLoadTime = std::max(aLoadTime, (mLoadTime * 3 + aLoadTime) / 4);
     }
   }
 
   std::vector<SwapOrder> Tick(const SwapInputs& aInputs, Millis aNow) {
-    NotePause(aNow);
+    DetectPause(aNow);
     RefreshRanks(aInputs, aNow);
     mBehind = 0;
     mNeedsFenceCheck = false;
@@ -133,7 +139,7 @@
     }
     for (const SwapEngine& engine : aInputs.mEngines) {
       if (engine.mIsController && !engine.mLeaving) {
-        Follow(aInputs, engine, aNow, orders);
+        UpdateEngine(aInputs, engine, aNow, orders);
       }
     }
     return orders;
@@ -145,10 +151,10 @@
   Millis mResumedAt;
   std::vector<std::string> mIds;
   int64_t mRankedVersion = 0;
-  std::map<std::string, EnginePlace> mPlaces;
-  std::map<std::string, SwapTrack, std::less<>> mTracks;
-  Millis mLoad;     ///< time that one load takes
-  Millis mSpacing;  ///< from one rank's start to the next one's
+  std::map<std::string, EngineSchedule> mSchedules;
+  std::map<std::string, SwapProgress, std::less<>> mProgress;
+  Millis mLoadTime;  ///< estimated duration of one load
+  Millis mSpacing;   ///< between the starts of consecutive ranks
   size_t mBehind = 0;
   bool mNeedsFenceCheck = false;
   SwapCounts mCounts;
@@ -165,16 +171,16 @@
 
 void SwapPlan::StaleFence(std::string_view aUpstream, uint64_t aFence) {
   ++mImpl->mCounts.mStaleFences;
-  const auto track = mImpl->mTracks.find(aUpstream);
-  if (track != mImpl->mTracks.end()) {
-    track->second.StaleFence(aFence);
+  const auto progress = mImpl->mProgress.find(aUpstream);
+  if (progress != mImpl->mProgress.end()) {
+    progress->second.StaleFence(aFence);
   }
 }
 
 void SwapPlan::OrderFailed(std::string_view aUpstream, Millis aNow) {
-  const auto track = mImpl->mTracks.find(aUpstream);
-  if (track != mImpl->mTracks.end()) {
-    track->second.Fail(aNow);
+  const auto progress = mImpl->mProgress.find(aUpstream);
+  if (progress != mImpl->mProgress.end()) {
+    progress->second.Fail(aNow);
   }
 }
 
@@ -186,14 +192,14 @@
 
 std::string SwapPlan::Dump() const {
   boost::json::object engines;
-  for (const auto& [id, track] : mImpl->mTracks) {
-    engines[id] = {{"wanted", track.Wanted()},
-                   {"phase", SwapPhaseName(track.Phase())},
-                   {"failures", track.Failures()}};
+  for (const auto& [id, progress] : mImpl->mProgress) {
+    engines[id] = {{"wanted", progress.TargetVersion()},
+                   {"phase", SwapPhaseName(progress.Phase())},
+                   {"failures", progress.Failures()}};
   }
   const boost::json::object dump{
       {"behind", mImpl->mBehind},
-      {"load_ms", mImpl->mLoad.Count()},
+      {"load_ms", mImpl->mLoadTime.Count()},
       {"spacing_ms", mImpl->mSpacing.Count()},
       {"orders", mImpl->mCounts.mOrders},
       {"retries", mImpl->mCounts.mRetries},
--- a/src/librillwall_coordination/swap_plan_test.cpp
+++ b/src/librillwall_coordination/swap_plan_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Tests of the orders to load weights: one behaviour each, and a fleet.
+/// Tests of the orders to load weights, for single engines and for a fleet of
+/// 600 engines on 370 nodes.
 
 #include "rillwall/swap_plan.h"
 
@@ -37,12 +38,12 @@
   return inputs;
 }
 
-/// An engine that loads when it is ordered to.
+/// A simulated engine that loads the ordered version.
 struct FakeEngine {
   int64_t mVersion = kOld;
   int64_t mLoading = 0;
   Millis mLoadEnds;
-  int mFailures = 0;  ///< next loads that fail
+  int mFailures = 0;  ///< number of the next loads that fail
   uint64_t mFence = 0;
   bool mChecksFence = true;
 
@@ -58,14 +59,14 @@
     mLoading = 0;
   }
 
-  /// \return whether the order was taken
-  bool Order(const SwapOrder& aOrder, Millis aNow, Millis aLoad) {
+  /// \return whether the engine accepted the order
+  bool Order(const SwapOrder& aOrder, Millis aNow, Millis aLoadTime) {
     if (mChecksFence && aOrder.mFence < mFence) {
       return false;
     }
     mFence = aOrder.mFence;
     mLoading = aOrder.mVersion;
-    mLoadEnds = aNow + aLoad;
+    mLoadEnds = aNow + aLoadTime;
     return true;
   }
 };
@@ -75,14 +76,14 @@
 class SwapPlanTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SwapPlanTest);
   CPPUNIT_TEST(OrdersOnce);
-  CPPUNIT_TEST(LeavesNewerAlone);
-  CPPUNIT_TEST(NeedsFenceReportAndDuty);
-  CPPUNIT_TEST(RetriesFailedSwapWithPause);
+  CPPUNIT_TEST(IgnoresEnginesOnNewerVersions);
+  CPPUNIT_TEST(NeedsFenceReportAndController);
+  CPPUNIT_TEST(RetriesFailedSwapWithBackoff);
   CPPUNIT_TEST(RepeatsLostOrder);
   CPPUNIT_TEST(ReconcilesOlderVersion);
   CPPUNIT_TEST(StaleFenceStopsUntilGreater);
-  CPPUNIT_TEST(ChecksAgainAfterPause);
-  CPPUNIT_TEST(RanksAlikeWhateverTheListOrder);
+  CPPUNIT_TEST(ChecksFenceAgainAfterPause);
+  CPPUNIT_TEST(RanksDoNotDependOnListOrder);
   CPPUNIT_TEST(FleetKeepsBoundAndCapacity);
   CPPUNIT_TEST(FleetKeepsToStoreRate);
   CPPUNIT_TEST(FleetKeepsToMaxSwapping);
@@ -101,13 +102,13 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, plan.Behind());
   }
 
-  void LeavesNewerAlone() {
+  void IgnoresEnginesOnNewerVersions() {
     SwapPlan plan;
     CPPUNIT_ASSERT(plan.Tick(One(kNew + 1, 0, kStart), kStart).empty());
     CPPUNIT_ASSERT(plan.Tick(One(kOld, kNew + 1, kStart), kStart).empty());
   }
 
-  void NeedsFenceReportAndDuty() {
+  void NeedsFenceReportAndController() {
     SwapPlan plan;
     SwapInputs inputs = One(kOld, 0, kStart);
     inputs.mEngines[0].mFence = 0;
@@ -123,20 +124,20 @@
     CPPUNIT_ASSERT(plan.Tick(inputs, kStart).empty());
   }
 
-  void RetriesFailedSwapWithPause() {
+  void RetriesFailedSwapWithBackoff() {
     SwapPlan plan;
     Millis now = kStart;
-    Millis pause{250};
+    Millis backoff{250};
     CPPUNIT_ASSERT_EQUAL(size_t{1}, plan.Tick(One(kOld, 0, now), now).size());
     for (int round = 0; round < 4; ++round) {
       now += Millis(300);
       plan.Tick(One(kOld, kNew, now), now);
       CPPUNIT_ASSERT(plan.Tick(One(kOld, 0, now), now).empty());
-      now += pause - Millis(1);
+      now += backoff - Millis(1);
       CPPUNIT_ASSERT(plan.Tick(One(kOld, 0, now), now).empty());
       now += Millis(1);
       CPPUNIT_ASSERT_EQUAL(size_t{1}, plan.Tick(One(kOld, 0, now), now).size());
-      pause = pause * 2;
+      backoff = backoff * 2;
     }
     CPPUNIT_ASSERT_EQUAL(uint64_t{4}, plan.Counts().mRetries);
   }
@@ -178,17 +179,17 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, plan.Tick(inputs, later).size());
   }
 
-  void ChecksAgainAfterPause() {
+  void ChecksFenceAgainAfterPause() {
     SwapPlan plan;
     SwapInputs inputs = One(kNew, 0, kStart);
     inputs.mRule.mFenceIgnored = true;
     plan.Tick(inputs, kStart);
-    const Millis woken = kStart + Millis(60000);
-    inputs = One(kOld, 0, woken - Millis(1));
+    const Millis resumed = kStart + Millis(60000);
+    inputs = One(kOld, 0, resumed - Millis(1));
     inputs.mRule.mFenceIgnored = true;
     inputs.mNewest.mVersion = kNew + 1;
-    CPPUNIT_ASSERT(plan.Tick(inputs, woken).empty());
-    const Millis later = woken + Millis(100);
+    CPPUNIT_ASSERT(plan.Tick(inputs, resumed).empty());
+    const Millis later = resumed + Millis(100);
     inputs.mEngines[0].mReport->mAt = later;
     CPPUNIT_ASSERT(plan.Tick(inputs, later).empty());
     CPPUNIT_ASSERT(plan.NeedsFenceCheck());
@@ -196,33 +197,33 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, plan.Tick(inputs, later).size());
   }
 
-  void RanksAlikeWhateverTheListOrder() {
+  void RanksDoNotDependOnListOrder() {
     const auto first = SwapRanks({"a", "b", "c", "d", "e"}, kNew);
     CPPUNIT_ASSERT(first == SwapRanks({"e", "c", "a", "d", "b"}, kNew));
     CPPUNIT_ASSERT(first != SwapRanks({"a", "b", "c", "d", "e"}, kNew + 1));
   }
 
-  /// What a run of the fleet showed.
+  /// Measurements of one run of the fleet.
   struct FleetRun {
     Millis mLastDone;
-    size_t mMostLoading = 0;
-    std::vector<Millis> mOrders;  ///< instants, in order
+    size_t mMaxLoading = 0;
+    std::vector<Millis> mOrders;  ///< time of each order, ascending
 
-    /// \return the most orders within any span of this length
-    size_t MostWithin(Millis aSpan) const {
-      size_t most = 0;
+    /// \return the greatest number of orders within any interval of this length
+    size_t MaxWithin(Millis aSpan) const {
+      size_t max = 0;
       for (auto first = mOrders.begin(); first != mOrders.end(); ++first) {
         const auto end = std::lower_bound(first, mOrders.end(), *first + aSpan);
-        most = std::max(most, static_cast<size_t>(end - first));
+        max = std::max(max, static_cast<size_t>(end - first));
       }
-      return most;
+      return max;
     }
   };
 
-  /// Nodes learn of a version with some delay each; every engine loads as
-  /// ordered. Each node knows its own engines' reports only.
-  static FleetRun RunFleet(const ModelRule& aRule, int64_t aBytes, Millis aLoad,
-                           uint64_t aSeed) {
+  /// Simulates a fleet whose nodes learn of a version with different delays.
+  /// Each node sees the reports of its own engines only.
+  static FleetRun RunFleet(const ModelRule& aRule, int64_t aBytes,
+                           Millis aLoadTime, uint64_t aSeed) {
     constexpr size_t kNodes = 370;
     constexpr size_t kEngines = 600;
     constexpr Millis kTick{50};
@@ -242,13 +243,13 @@
         loading += engine.mLoading != 0 ? 1 : 0;
         behind += engine.mVersion != kNew ? 1 : 0;
       }
-      run.mMostLoading = std::max(run.mMostLoading, loading);
+      run.mMaxLoading = std::max(run.mMaxLoading, loading);
       if (behind == 0) {
         run.mLastDone = now - kStart;
         return run;
       }
       const size_t orders =
-          TickFleet(plans, learned, engines, aRule, aBytes, aLoad, now);
+          TickFleet(plans, learned, engines, aRule, aBytes, aLoadTime, now);
       run.mOrders.insert(run.mOrders.end(), orders, now);
     }
     CPPUNIT_FAIL("the fleet did not reach the version");
@@ -259,8 +260,8 @@
   static size_t TickFleet(std::vector<SwapPlan>& aPlans,
                           const std::vector<Millis>& aLearned,
                           std::vector<FakeEngine>& aEngines,
-                          const ModelRule& aRule, int64_t aBytes, Millis aLoad,
-                          Millis aNow) {
+                          const ModelRule& aRule, int64_t aBytes,
+                          Millis aLoadTime, Millis aNow) {
     size_t orders = 0;
     SwapInputs inputs;
     inputs.mRule = aRule;
@@ -282,7 +283,7 @@
       setDuty(true);
       for (const SwapOrder& order : aPlans[node].Tick(inputs, aNow)) {
         aEngines[std::stoul(order.mUpstream.substr(1))].Order(order, aNow,
-                                                              aLoad);
+                                                              aLoadTime);
         ++orders;
       }
       setDuty(false);
@@ -293,29 +294,31 @@
   void FleetKeepsBoundAndCapacity() {
     const FleetRun run = RunFleet(ModelRule(), 1000, Millis(1000), 1);
     CPPUNIT_ASSERT(run.mLastDone <= Millis(7000));
-    CPPUNIT_ASSERT(run.mMostLoading < 200);
+    CPPUNIT_ASSERT(run.mMaxLoading < 200);
   }
 
   void FleetKeepsToStoreRate() {
     ModelRule rule;
     rule.mWeightStoreMBps = 100;
-    // One load takes 50 ms of the store's rate, 20 a second, 30 s for all.
-    // Nodes learn of the version up to 0.8 s apart.
+    // One load takes 50 ms at the rate of the store, so that 20 loads fit into
+    // a second and all loads take 30 s. Nodes learn of the version up to 0.8 s
+    // apart.
     const FleetRun run = RunFleet(rule, 5000000, Millis(50), 2);
     CPPUNIT_ASSERT(run.mLastDone <= Millis(33000));
-    CPPUNIT_ASSERT(run.MostWithin(Millis(5000)) <= 20 * 58 / 10);
+    CPPUNIT_ASSERT(run.MaxWithin(Millis(5000)) <= 20 * 58 / 10);
   }
 
   void FleetKeepsToMaxSwapping() {
     ModelRule rule;
     rule.mMaxSwapping = 60;
     const FleetRun run = RunFleet(rule, 1000, Millis(1000), 3);
-    CPPUNIT_ASSERT(run.mMostLoading <= 75);
+    CPPUNIT_ASSERT(run.mMaxLoading <= 75);
     CPPUNIT_ASSERT(run.mLastDone <= Millis(13000));
   }
 
-  /// A paused controller acts late with an old number and an old version on an
-  /// engine that ignores the number; the engine ends on the newest version.
+  /// A paused controller resumes and sends late orders, with an old fencing
+  /// number and an old version, to an engine that ignores fencing numbers. The
+  /// engine must still end on the newest version.
   void TwoControllersConverge() {
     for (uint64_t seed = 0; seed < 200; ++seed) {
       std::mt19937_64 random(seed);
--- a/src/librillwall_coordination/swap_rank.cpp
+++ b/src/librillwall_coordination/swap_rank.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// When each engine begins to load: computed alike on every node.
+/// The ranking of the engines and the spacing of their loads. Every node
+/// computes the same values.
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -52,13 +53,14 @@
 }
 
 Millis SwapSpacing(const SwapLimits& aLimits, const ModelRule& aRule,
-                   int64_t aBytes, size_t aEngines, Millis aLoad) {
+                   int64_t aBytes, size_t aEngines, Millis aLoadTime) {
   const Millis transfer = TransferTime(aRule, aBytes);
   if (aRule.mMaxSwapping > 0) {
-    return std::max(transfer, aLoad / aRule.mMaxSwapping);
+    return std::max(transfer, aLoadTime / aRule.mMaxSwapping);
   }
-  // Spread over what the bound leaves, so that the fewest load at once.
-  const Millis spare = aLimits.mBound - aLimits.mSpreadMargin - aLoad;
+  // Spreads the loads over the time that the bound leaves, so that as few
+  // engines as possible load at the same time.
+  const Millis spare = aLimits.mBound - aLimits.mSpreadMargin - aLoadTime;
   const auto engines = static_cast<int64_t>(std::max<size_t>(aEngines, 1));
   return std::max({transfer, spare / engines, Millis(0)});
 }
