--- a/src/include/rillwall/step.h
+++ b/src/include/rillwall/step.h
@@ -129,10 +129,9 @@
 
 /// What the owner of a step has to do next.
 struct StepActions {
-  std::vector<GroupOrder> mRun;     ///< order these runs
-  std::vector<GroupOrder> mCancel;  ///< cancel duplicate and stale runs
-  std::vector<GroupOrder>
-      mRelease;  ///< received by the trainer; drop the samples
+  std::vector<GroupOrder> mRun;      ///< order these runs
+  std::vector<GroupOrder> mCancel;   ///< cancel duplicate and stale runs
+  std::vector<GroupOrder> mRelease;  ///< drop samples the trainer has
 };
 
 /// The response to a pull: the groups to fetch, with their runners.
@@ -162,7 +161,7 @@
   void SetVersionInterval(Millis aInterval);
   /// Processes a runner's inventory of this step.
   /// \param aHeld finished groups that the runner holds
-  /// \param aRunning groups that it runs now
+  /// \param aRunning groups that the runner runs now
   void Inventory(std::string_view aRunner,
                  const std::vector<GroupSummary>& aHeld,
                  const std::vector<GroupOrder>& aRunning, Millis aNow);
@@ -176,7 +175,8 @@
   /// Orders waiting groups, the longest expected ones first, within the
   /// capacity of the runners. Each group goes to one runner as a whole. Groups
   /// that would be stale at delivery are not ordered. Hedges the last groups of
-  /// the step if the rule allows it. \param aNewest newest known weight version
+  /// the step if the rule allows it.
+  /// \param aNewest newest known weight version
   StepActions Tick(const std::vector<RunnerCapacity>& aRunners, int64_t aNewest,
                    Millis aNow);
   /// Reports that a group is finished and held by its runner.
@@ -188,8 +188,9 @@
   void RunnerLost(std::string_view aRunner, Millis aNow);
   /// Processes a pull by the trainer. Releases the groups that the receipt
   /// names, drops held groups that exceed the staleness bound and queues them
-  /// again. \param aMaxGroups greatest number of groups in the plan \param
-  /// aActions receives the actions that follow
+  /// again.
+  /// \param aMaxGroups greatest number of groups in the plan
+  /// \param aActions receives the actions that follow
   PullPlan Plan(const Receipt& aReceipt, int64_t aNewest, size_t aMaxGroups,
                 Millis aNow, StepActions& aActions);
 
--- a/src/include/rillwall/swap_plan.h
+++ b/src/include/rillwall/swap_plan.h
@@ -1,5 +1,6 @@
 /// \file
-/// Decides when the controller of an upstream orders it to load weights.
+/// Decides when the controller of an upstream orders the upstream to load
+/// weights.
 ///
 /// Each engine has one controller: the node that holds the duty and its fencing
 /// number. All nodes compute the same ranking of the engines of a model from
@@ -32,7 +33,7 @@
 struct NewestWeights {
   int64_t mVersion = 0;  ///< 0: none
   int64_t mBytes = 0;
-  Millis mLearnedAt;  ///< time at which this node learned of it
+  Millis mLearnedAt;  ///< time at which this node learned the version
   bool operator==(const NewestWeights&) const = default;
 };
 
@@ -116,7 +117,8 @@
 };
 
 /// Ranks the engines for the load of a version. The ranking is the same on
-/// every node. \return the ids in the order in which the engines load
+/// every node.
+/// \return the ids in the order in which the engines load
 std::vector<std::string> SwapRanks(std::vector<std::string> aIds,
                                    int64_t aVersion);
 
--- a/src/librillwall_coordination/claim_call.cpp
+++ b/src/librillwall_coordination/claim_call.cpp
@@ -28,7 +28,7 @@
 
 namespace front = boost::msm::front;
 
-constexpr const char* kClaimNotCreated =
+constexpr const char* kClaimUnavailable =
     "The call needs a claim in the key-value service, which does not respond; "
     "nothing was sent to the upstream. Retry the call later.";
 
@@ -64,17 +64,17 @@
   int64_t mRevision = 0;
   int mFailures = 0;  ///< failed attempts of the current kind of step
   int mCreates = 0;
-  bool mCreateUncertain = false;  ///< a create may take effect later
+  bool mCreateUncertain = false;  ///< a create has an unknown result
   bool mLeftBehind = false;
 
-  Millis Pause() const {
+  Millis Backoff() const {
     return mFailures == 0 ? Millis(0)
                           : FailurePause(mFailures, mLimits.mInitialBackoff,
                                          mLimits.mMaxBackoff);
   }
 
   void Next(ClaimAction aNext, std::string aValue = {}) {
-    mStep = {aNext, Pause(), mRevision, std::move(aValue)};
+    mStep = {aNext, Backoff(), mRevision, std::move(aValue)};
   }
 
   void Create() {
@@ -124,12 +124,12 @@
   }
 };
 /// Whether another attempt of this kind of step is allowed.
-template <int ClaimLimits::*Tries>
-struct MayTry {
+template <int ClaimLimits::*MaxAttempts>
+struct MayRetry {
   template <class Event, class Machine, class From, class To>
   bool operator()(const Event&, Machine& aMachine, From&, To&) const {
     const Context& context = aMachine.mContext;
-    return context.mFailures + 1 < context.mLimits.*Tries;
+    return context.mFailures + 1 < context.mLimits.*MaxAttempts;
   }
 };
 
@@ -170,7 +170,7 @@
     aMachine.mContext.Next(ClaimAction::Run);
   }
 };
-/// Responds from the record if the claim belongs to another call.
+/// The claim belongs to another call: responds from its record.
 struct DoAnswerRepeat {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
@@ -205,7 +205,7 @@
 struct DoRefuse {
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
-    aMachine.mContext.Refuse(ErrorKind::KvUnavailable, kClaimNotCreated,
+    aMachine.mContext.Refuse(ErrorKind::KvUnavailable, kClaimUnavailable,
                              RunState::NotRun);
   }
 };
@@ -215,7 +215,7 @@
   template <class Event, class Machine, class From, class To>
   void operator()(const Event&, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
-    context.Refuse(ErrorKind::KvUncertain, kClaimNotCreated, RunState::NotRun);
+    context.Refuse(ErrorKind::KvUncertain, kClaimUnavailable, RunState::NotRun);
     context.mFailures = 1;
     context.Next(ClaimAction::Read);
   }
@@ -309,10 +309,10 @@
 struct Removing : front::state<> {};
 struct Ended : front::state<> {};
 
-using MayClean = MayTry<&ClaimLimits::mMaxCleanupReads>;
-using MayRead = MayTry<&ClaimLimits::mMaxReadAttempts>;
-using MayRecord = MayTry<&ClaimLimits::mMaxRecordAttempts>;
-using MayRemove = MayTry<&ClaimLimits::mMaxRemoveAttempts>;
+using MayClean = MayRetry<&ClaimLimits::mMaxCleanupReads>;
+using MayRead = MayRetry<&ClaimLimits::mMaxReadAttempts>;
+using MayRecord = MayRetry<&ClaimLimits::mMaxRecordAttempts>;
+using MayRemove = MayRetry<&ClaimLimits::mMaxRemoveAttempts>;
 
 template <class From, class Event, class To, class Action,
           class Guard = front::none>
--- a/src/librillwall_coordination/step_runners.h
+++ b/src/librillwall_coordination/step_runners.h
@@ -27,7 +27,7 @@
   /// \return whether the runner has failed since a group last finished there
   bool IsSuspect(std::string_view aRunner) const;
   /// \param aCapacity groups that the runner can start
-  /// \param aRunning groups that it runs
+  /// \param aRunning groups that the runner runs already
   /// \return how many groups the runner may receive now
   int64_t Allowed(std::string_view aRunner, int64_t aCapacity, int64_t aRunning,
                   Millis aNow) const;
--- a/src/librillwall_coordination/step_tracker_state.cpp
+++ b/src/librillwall_coordination/step_tracker_state.cpp
@@ -108,9 +108,9 @@
   const bool tooLong =
       bound.mAge >= Millis(0) &&
       aNow - aAttempt.mStartedAt > bound.mAge + kQueueAllowance;
-  const bool unheard =
+  const bool notNamed =
       aAttempt.mAdopted && aNow - aAttempt.mLastNamedAt > kAdoptedTimeout;
-  return oldVersion || tooLong || unheard;
+  return oldVersion || tooLong || notNamed;
 }
 
 void StepTrackerState::CancelExpired(size_t aGroup, Millis aNow,
@@ -277,16 +277,16 @@
 void StepTrackerState::HandleMissing(size_t aGroup, std::string_view aRunner,
                                      Millis aNow) {
   GroupRecord& group = mGroups.At(aGroup);
-  const Millis before = aNow - kInventoryGrace;
+  const Millis cutoff = aNow - kInventoryGrace;
   if (group.State() == GroupState::Held && group.mHeld.mRunner == aRunner &&
-      group.mHeldAt <= before) {
+      group.mHeldAt <= cutoff) {
     mGroups.Requeue(aGroup, aNow);
     return;
   }
   const size_t erased =
       std::erase_if(group.mAttempts, [&](const GroupAttempt& aEach) {
         return aEach.mRunner == aRunner &&
-               (aEach.mAdopted || aEach.mStartedAt <= before);
+               (aEach.mAdopted || aEach.mStartedAt <= cutoff);
       });
   if (erased > 0 && group.mAttempts.empty()) {
     mGroups.Requeue(aGroup, aNow);
--- a/src/librillwall_coordination/step_tracker_test.cpp
+++ b/src/librillwall_coordination/step_tracker_test.cpp
@@ -230,8 +230,8 @@
     tracker.Finished(Done(run[0], 7), rise + Millis(30000));
     CPPUNIT_ASSERT(
         tracker.Tick(capacities, 7, rise + Millis(40000)).mRun.empty());
-    // The next version is overdue, as the trainer may be waiting for this
-    // group.
+    // The next version is overdue, so the group is ordered: the trainer may
+    // need it to make that version.
     CPPUNIT_ASSERT_EQUAL(
         size_t{1},
         tracker.Tick(capacities, 7, rise + Millis(61000)).mRun.size());
