--- a/src/include/rillwall/registry_table.h
+++ b/src/include/rillwall/registry_table.h
@@ -60,7 +60,7 @@
   /// Takes in a whole listing.
   /// \param aKeepMissing entries that it lacks are kept for now, since the
   /// registry has just come back and live replicas register again
-  void TakeAll(std::vector<RegistryEntry> aEntries, bool aKeepMissing);
+  void ReplaceAll(std::vector<RegistryEntry> aEntries, bool aKeepMissing);
   /// Takes in an entry that was written. An older revision changes nothing.
   void Put(RegistryEntry aEntry);
   /// Takes in that an entry was removed.
--- a/src/include/rillwall/usage_meter.h
+++ b/src/include/rillwall/usage_meter.h
@@ -81,7 +81,7 @@
   void RecordContact(const std::string& aAddress, Millis aNow);
   /// \param aSince instant
   /// \return whether each host that was heard lately was heard since then
-  bool AllHeardSince(Millis aSince, Millis aNow) const;
+  bool AllContactedSince(Millis aSince, Millis aNow) const;
   /// \return the sum of a window
   AccountCounts Sum(int64_t aWindow) const;
   /// \return how many processes told something of a window
--- a/src/librillwall_coordination/many_replicas_test.cpp
+++ b/src/librillwall_coordination/many_replicas_test.cpp
@@ -39,7 +39,7 @@
     const Replica replica = ReplicaAt(i);
     entries.push_back({replica.mId, 1, replica});
   }
-  aTable.TakeAll(std::move(entries), false);
+  aTable.ReplaceAll(std::move(entries), false);
 }
 
 SubsetQuestion HostAt(size_t aIndex) {
@@ -209,7 +209,7 @@
     for (size_t i = 0; i < 500; ++i) {
       half.push_back({ReplicaAt(i).mId, 1, ReplicaAt(i)});
     }
-    table.TakeAll(half, true);
+    table.ReplaceAll(half, true);
     CPPUNIT_ASSERT_EQUAL(size_t{1000}, table.Size());
   }
 
--- a/src/librillwall_coordination/registry_table.cpp
+++ b/src/librillwall_coordination/registry_table.cpp
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-void RegistryTable::TakeAll(std::vector<RegistryEntry> aEntries,
-                            bool aKeepMissing) {
+void RegistryTable::ReplaceAll(std::vector<RegistryEntry> aEntries,
+                               bool aKeepMissing) {
   std::set<std::string> listed;
   for (RegistryEntry& entry : aEntries) {
     listed.insert(entry.mId);
--- a/src/librillwall_coordination/usage_meter.cpp
+++ b/src/librillwall_coordination/usage_meter.cpp
@@ -77,7 +77,7 @@
   mHeard[aAddress] = aNow;
 }
 
-bool UsageTotals::AllHeardSince(Millis aSince, Millis aNow) const {
+bool UsageTotals::AllContactedSince(Millis aSince, Millis aNow) const {
   return std::all_of(mHeard.begin(), mHeard.end(), [&](const auto& aEntry) {
     return aEntry.second >= aSince || aNow - aEntry.second > kGone;
   });
--- a/src/librillwall_coordination/usage_meter_test.cpp
+++ b/src/librillwall_coordination/usage_meter_test.cpp
@@ -135,12 +135,12 @@
     UsageTotals book;
     book.RecordContact("h1", Millis(1000));
     book.RecordContact("h2", Millis(3000));
-    CPPUNIT_ASSERT(!book.AllHeardSince(Millis(2000), Millis(3000)));
+    CPPUNIT_ASSERT(!book.AllContactedSince(Millis(2000), Millis(3000)));
     book.RecordContact("h1", Millis(3500));
-    CPPUNIT_ASSERT(book.AllHeardSince(Millis(2000), Millis(3500)));
-    CPPUNIT_ASSERT(book.AllHeardSince(Millis(60000), Millis(90000)));
+    CPPUNIT_ASSERT(book.AllContactedSince(Millis(2000), Millis(3500)));
+    CPPUNIT_ASSERT(book.AllContactedSince(Millis(60000), Millis(90000)));
     book.Forget(100, Millis(90000));
-    CPPUNIT_ASSERT(book.AllHeardSince(Millis(95000), Millis(95000)));
+    CPPUNIT_ASSERT(book.AllContactedSince(Millis(95000), Millis(95000)));
   }
 
   /// Any order of requests, questions, lost answers, restarts and changes of
--- a/src/librillwall_rollout/rollout_run.cpp
+++ b/src/librillwall_rollout/rollout_run.cpp
@@ -113,15 +113,16 @@
   return PickService(aStep.mRoute, std::hash<std::string>()(group));
 }
 
-ReplicaRequirements RolloutService::WishOf(const RolloutStep& aStep) const {
-  ReplicaRequirements wish;
-  wish.mZone = mNode.mIdentity.mZone;
-  wish.mModel = aStep.mTracker.Spec().mModel;
-  wish.mMinVersion = aStep.mTracker.Spec().mMinVersion;
-  wish.mNeedsFreeSlot = true;
-  wish.mRegions = RegionsOf(*mNode.mRoutes.Read(), aStep.mRoute,
-                            aStep.mTracker.Spec().mAccount);
-  return wish;
+ReplicaRequirements RolloutService::RequirementsOf(
+    const RolloutStep& aStep) const {
+  ReplicaRequirements requirements;
+  requirements.mZone = mNode.mIdentity.mZone;
+  requirements.mModel = aStep.mTracker.Spec().mModel;
+  requirements.mMinVersion = aStep.mTracker.Spec().mMinVersion;
+  requirements.mNeedsFreeSlot = true;
+  requirements.mRegions = RegionsOf(*mNode.mRoutes.Read(), aStep.mRoute,
+                                    aStep.mTracker.Spec().mAccount);
+  return requirements;
 }
 
 std::optional<std::string> RolloutService::ChooseReplica(
@@ -130,16 +131,16 @@
   if (service == nullptr) {
     return std::nullopt;
   }
-  ReplicaRequirements wish = WishOf(aStep);
-  wish.mService = *service;
+  ReplicaRequirements requirements = RequirementsOf(aStep);
+  requirements.mService = *service;
   if (!aPick.mAvoid.empty()) {
-    wish.mExcluded.push_back(aPick.mAvoid);
+    requirements.mExcluded.push_back(aPick.mAvoid);
   }
   const Millis now = mNode.Now();
-  std::optional<std::string> chosen = mNode.mReplicas.Choose(wish, now);
+  std::optional<std::string> chosen = mNode.mReplicas.Choose(requirements, now);
   if (!chosen && !aPick.mAvoid.empty()) {
-    wish.mExcluded.clear();
-    chosen = mNode.mReplicas.Choose(wish, now);
+    requirements.mExcluded.clear();
+    chosen = mNode.mReplicas.Choose(requirements, now);
   }
   return chosen;
 }
@@ -245,8 +246,8 @@
                        mLengths.Events(tracker.Item(item).mLengthHint)});
     }
   }
-  const std::vector<PlannedMove> moves =
-      PlanMoves(texts, mNode.mReplicas, WishOf(*aStep), kMovesAtOnce, now);
+  const std::vector<PlannedMove> moves = PlanMoves(
+      texts, mNode.mReplicas, RequirementsOf(*aStep), kMovesAtOnce, now);
   for (const PlannedMove& planned : moves) {
     aStep->mMovedAt[planned.mItem] = now;
     aStep->mMoving[planned.mItem] = WhyMoved(planned.mMove);
--- a/src/librillwall_rollout/upstream_call.cpp
+++ b/src/librillwall_rollout/upstream_call.cpp
@@ -27,15 +27,15 @@
       : mNode(aNode),
         mCall(std::move(aCall)),
         mAttempts(mCall.mKind, mCall.mAttempts) {
-    mWish.mService = mCall.mService;
-    mWish.mZone = mNode.mIdentity.mZone;
-    mWish.mRegions = mCall.mRegions;
+    mRequirements.mService = mCall.mService;
+    mRequirements.mZone = mNode.mIdentity.mZone;
+    mRequirements.mRegions = mCall.mRegions;
   }
 
   NodeContext& mNode;
   const UpstreamCall mCall;
   CallAttempts mAttempts;
-  ReplicaRequirements mWish;
+  ReplicaRequirements mRequirements;
   std::optional<UpstreamResponse> mFailedAnswer;  ///< best of the failed ones
   bool mCounted = false;  ///< it has begun to run at some replica
   std::optional<RequestDigest> mDigest;  ///< once it is needed
@@ -336,12 +336,12 @@
       break;
     }
     const std::optional<std::string> id =
-        node.mReplicas.Choose(aRun.mWish, node.Now());
+        node.mReplicas.Choose(aRun.mRequirements, node.Now());
     if (!id) {
-      if (aRun.mWish.mExcluded.empty()) {
+      if (aRun.mRequirements.mExcluded.empty()) {
         break;
       }
-      aRun.mWish.mExcluded.clear();
+      aRun.mRequirements.mExcluded.clear();
       co_await Sleep(node.mIo, kRefusedPause);
       continue;
     }
@@ -372,7 +372,7 @@
       break;
     }
     node.mMetrics.Count("upstream_retries_total");
-    aRun.mWish.mExcluded.push_back(*id);
+    aRun.mRequirements.mExcluded.push_back(*id);
   }
   if (aRun.mFailedAnswer) {
     co_return std::move(*aRun.mFailedAnswer);
--- a/src/librillwall_rollout/upstream_call_test.cpp
+++ b/src/librillwall_rollout/upstream_call_test.cpp
@@ -78,15 +78,15 @@
     HttpResponse head;
     head.mHeaders = {{"Load", "7,1,8,100"}};
     ObserveLoad(mTest.mNode, "one", head);
-    ReplicaRequirements wish;
-    wish.mService = "s";
+    ReplicaRequirements requirements;
+    requirements.mService = "s";
     const Millis now = mTest.mNode.Now();
     CPPUNIT_ASSERT_EQUAL(std::string("two"),
-                         *mTest.mNode.mReplicas.Choose(wish, now));
+                         *mTest.mNode.mReplicas.Choose(requirements, now));
     head.mHeaders = {{"Load", "9,9"}};
     ObserveLoad(mTest.mNode, "two", head);
     CPPUNIT_ASSERT_EQUAL(std::string("two"),
-                         *mTest.mNode.mReplicas.Choose(wish, now));
+                         *mTest.mNode.mReplicas.Choose(requirements, now));
   }
 
   void SendsWhatTheReplicaNeeds() {
@@ -317,7 +317,8 @@
     const Error unknown(ErrorKind::Overloaded, "x", RunState::Unknown);
     CPPUNIT_ASSERT_EQUAL(502, ErrorAnswer(unknown).mStatus);
     const Error refused(ErrorKind::Overloaded, "x", RunState::NotRun);
-    const HttpResponse answer = ErrorAnswer(refused.After(Millis(250)));
+    const HttpResponse answer =
+        ErrorAnswer(refused.WithRetryAfter(Millis(250)));
     CPPUNIT_ASSERT_EQUAL(503, answer.mStatus);
     CPPUNIT_ASSERT_EQUAL(std::string("0.250"), *answer.Find("Retry-After"));
   }
--- a/src/librillwall_rollout/usage_reporter.cpp
+++ b/src/librillwall_rollout/usage_reporter.cpp
@@ -41,7 +41,7 @@
   if (aText.empty()) {
     return;
   }
-  const Result<ToldUsage> told = DecodeToldUsage(aText);
+  const Result<HostUsage> told = DecodeHostUsage(aText);
   if (!told) {
     Event("usage-unread").Text("why", told.error().Detail()).Write();
     return;
@@ -111,7 +111,7 @@
   }
   const bool last = past >= mLate * kLastPercent / kPercent;
   const bool known = now - mLeadingSince >= kTakeOver;
-  return last || (known && mBook.AllHeardSince(now - past + kSettle, now));
+  return last || (known && mBook.AllContactedSince(now - past + kSettle, now));
 }
 
 UsageReport UsageReporter::Collect() {
