--- a/src/include/rillwall/dispatcher.h
+++ b/src/include/rillwall/dispatcher.h
@@ -1,15 +1,20 @@
 /// \file
 /// Admission, queueing and routing of model calls on one node.
 ///
-/// Interactive calls and samples ask for an upstream here and are started,
-/// queued or refused. The dispatcher keeps weighted fair queues (between
-/// houses, and between trainers), an adaptive concurrency limit and a circuit
-/// breaker per upstream, headroom for interactive calls, one retry budget, and
-/// chooses among upstreams by own calls in flight, reported load decayed by
-/// its age, two random choices, prefix affinity with a bounded load, and zone.
+/// Interactive calls and training samples ask for an upstream here and are
+/// started, queued or refused. The dispatcher has:
+/// - weighted fair queues, between client accounts and between trainers;
+/// - an adaptive concurrency limit and a circuit breaker per upstream;
+/// - headroom that is kept for interactive calls;
+/// - one retry budget.
+///
+/// It selects an upstream by the node's own calls in flight, the reported load
+/// weighted by its age, the power of two random choices, prefix affinity with
+/// bounded loads, and the zone.
 ///
 /// Sans-IO and single-threaded: the owner calls it on one strand and carries
-/// out the decisions returned. The same calls give the same decisions.
+/// out the decisions returned. The same sequence of calls gives the same
+/// decisions.
 
 #pragma once
 
@@ -28,78 +33,91 @@
 
 enum class CallClass { Interactive, Training };
 
-/// What a model call asks for.
+/// Request for an upstream for one model call.
 struct CallSpec {
-  uint64_t mTicket = 0;  ///< chosen by the owner, unique
+  uint64_t mTicket = 0;  ///< unique ID, assigned by the owner
   CallClass mClass = CallClass::Interactive;
-  std::string mTenant;  ///< house or trainer
+  std::string mTenant;  ///< client account or trainer
   std::string mModel;
-  uint64_t mPrefixHash = 0;  ///< of the prompt's first part; 0: none
+  uint64_t mPrefixHash = 0;  ///< of the prompt's first part; 0: no affinity
   int64_t mExpectedTokens = 0;
-  int64_t mMinVersion = 0;          ///< least weight version wanted; 0: any
-  std::vector<std::string> mZones;  ///< allowed; empty: all
-  std::vector<std::string> mAvoid;  ///< upstream ids that failed this call
-  Millis mDeadline;                 ///< instant after which it is of no use
-  bool mRetry = false;              ///< a repeat; drawn from the retry budget
+  int64_t mMinVersion = 0;          ///< minimum weight version; 0: any
+  std::vector<std::string> mZones;  ///< allowed zones; empty: all
+  std::vector<std::string> mAvoid;  ///< IDs of upstreams that failed this call
+  Millis mDeadline;     ///< instant after which the result is useless
+  bool mRetry = false;  ///< counts against the retry budget
 };
 
 enum class CallAction { Start, Refuse, Preempt };
 
-/// What to do with a ticket.
+/// Decision about one call. Preempt asks the owner to cancel the call at its
+/// upstream, to report its end with Finish() and to submit it again.
 struct CallDecision {
   uint64_t mTicket = 0;
   CallAction mAction = CallAction::Start;
-  std::string mUpstream;                      ///< id, for Start
+  std::string mUpstream;                      ///< ID of the upstream, for Start
   ErrorKind mReason = ErrorKind::Overloaded;  ///< for Refuse
-  Millis mRetryAfter;                         ///< for Refuse: when to come back
+  Millis mRetryAfter;  ///< for Refuse: time until a retry makes sense
 };
 
 /// How a call ended at its upstream.
 enum class CallOutcome { Done, Refused, Failed, TimedOut, Cancelled };
 
+/// Limits of admission, queueing and retries.
 struct DispatcherLimits {
-  Millis mInteractiveQueue{2000};  ///< longest wait of an interactive call
-  size_t mMaxQueued = 20000;
-  double mRetryRatio = 0.1;   ///< retries per first call
-  int mBreakerFailures = 3;   ///< in a row, to open
-  Millis mBreakerOpen{2000};  ///< until a probe is let through
+  Millis mMaxInteractiveWait{2000};  ///< queueing time of an interactive call
+  size_t mMaxQueued = 20000;         ///< queued calls of all models and classes
+  double mRetryRatio = 0.1;          ///< retries per first attempt
+  int mBreakerFailures = 3;  ///< consecutive failures that open the breaker
+  Millis mBreakerOpenTime{2000};  ///< from opening to the first probe
 };
 
 struct DispatchTuning;
 
+/// Admits, queues and routes the model calls of one node.
 class Dispatcher {
  public:
+  /// \param aZone the availability zone of the node
+  /// \param aSeed seed of the random choices
   Dispatcher(std::string aZone, DispatcherLimits aLimits, uint64_t aSeed);
-  /// As above, with other constants than the usual ones, for benchmarks.
+  /// As above, with constants other than the defaults, for benchmarks.
   Dispatcher(std::string aZone, DispatcherLimits aLimits, uint64_t aSeed,
              const DispatchTuning& aTuning);
   ~Dispatcher();
 
-  /// Takes the engines to route to (the node's subset) and the rules.
+  /// Replaces the engines to route to (the node's subset) and the rules. Calls
+  /// in flight at an engine that is no longer listed go on.
   void Configure(std::vector<Upstream> aEngines, const PolicyRules& aRules,
                  Millis aNow);
-  /// An upstream is leaving (from any source): no new call goes to it.
+  /// Marks an upstream as leaving, so that no new call goes to it, whichever
+  /// source reported it. An ID that is not known yet is remembered for a while.
   void MarkLeaving(std::string_view aUpstream, Millis aNow);
+  /// Records an upstream's load report.
   void Report(std::string_view aUpstream, const LoadReport& aReport);
 
-  /// Asks for an upstream. The decision for it may come now or later, from any
-  /// of the calls below.
+  /// Requests an upstream for a call. The decision about it is returned here or
+  /// later by any of the functions below.
+  /// \return decisions about this call and possibly about queued ones
   std::vector<CallDecision> Submit(CallSpec aSpec, Millis aNow);
-  /// A started call's first token came.
+  /// Records the first token of a started call.
   void FirstToken(uint64_t aTicket, Millis aNow);
-  /// Tokens came from a started call.
+  /// Records tokens of a started call.
+  /// \param aTokens since the previous record
   void Progress(uint64_t aTicket, int64_t aTokens, Millis aNow);
-  /// A started call ended.
+  /// Records the end of a started call.
+  /// \return decisions about other calls that can start now
   std::vector<CallDecision> Finish(uint64_t aTicket, CallOutcome aOutcome,
                                    Millis aNow);
-  /// A queued call is no longer wanted.
+  /// Removes a queued call that its owner no longer needs.
   std::vector<CallDecision> Withdraw(uint64_t aTicket, Millis aNow);
-  /// Call every 20 ms or so: expires, probes, preempts.
+  /// Refuses expired calls, starts queued ones, requests preemptions and
+  /// refreshes the estimates. Call it about every 20 ms.
   std::vector<CallDecision> Tick(Millis aNow);
 
-  /// Free slots that training could take now, for choosing among runners.
+  /// \return slots that training calls could take now, for the choice among
+  /// group runners
   int64_t FreeTrainingSlots(std::string_view aModel) const;
-  /// State as JSON text for the dump.
+  /// \return the state as JSON text, for the dump
   std::string Dump() const;
 
  private:
--- a/src/include/rillwall/node_lifecycle.h
+++ b/src/include/rillwall/node_lifecycle.h
@@ -1,10 +1,10 @@
 /// \file
-/// The life of a node: starting, ready, isolated, draining, stopped.
+/// Lifecycle of a node: starting, ready, isolated, draining, stopped.
 ///
-/// A node takes work only while ready. It is ready once it knows a policy set
-/// that somebody (the key-value service or a peer) has confirmed, and becomes
-/// isolated when nobody has confirmed it for a while; it goes back to ready by
-/// itself. Draining is final. Single-threaded; a Boost.MSM state machine.
+/// A node accepts work only while ready. It becomes ready once the key-value
+/// service or a peer has confirmed the policy set that it has. It becomes
+/// isolated when the confirmation is too old, and ready again with the next
+/// confirmation. Draining is final. Single-threaded.
 
 #pragma once
 
@@ -16,20 +16,24 @@
 
 enum class NodePhase { Starting, Ready, Isolated, Draining, Stopped };
 
-/// \return the phase's name, lower case
+/// \return the name of the phase in lower case
 const char* NodePhaseName(NodePhase aPhase);
 
+/// State machine of the lifecycle. Events that do not apply in the present
+/// phase are ignored.
 class NodeLifecycle {
  public:
-  /// \param aConfirmWithin how long a confirmation holds
-  explicit NodeLifecycle(Millis aConfirmWithin);
+  /// \param aConfirmationTimeout how long a confirmation is valid
+  explicit NodeLifecycle(Millis aConfirmationTimeout);
   ~NodeLifecycle();
-  /// Somebody confirmed the policy revision that this node has.
+  /// Records that the key-value service or a peer confirmed the policy revision
+  /// that this node has.
   void PolicyConfirmed(Millis aNow);
-  /// Moves to isolated when the last confirmation is too old.
+  /// Changes from ready to isolated when the last confirmation is too old.
   void Tick(Millis aNow);
+  /// Starts draining.
   void Drain();
-  /// Nothing is in flight any more.
+  /// Ends draining: nothing is in flight any more.
   void Drained();
   NodePhase Phase() const;
 
--- a/src/librillwall_coordination/breaker.cpp
+++ b/src/librillwall_coordination/breaker.cpp
@@ -5,7 +5,7 @@
 namespace rillwall {
 
 namespace {
-constexpr double kLeastShare = 0.1;
+constexpr double kMinShare = 0.1;
 }  // namespace
 
 const char* BreakerStateName(BreakerState aState) {
@@ -29,21 +29,22 @@
 void Breaker::Started(uint64_t aTicket, Millis aNow) {
   if (mState == BreakerState::Open && aNow >= mNextProbe) {
     mState = BreakerState::Probing;
-    mProbe = aTicket;
+    mProbeTicket = aTicket;
   }
 }
 
 void Breaker::Succeeded(uint64_t aTicket, Millis aNow) {
   mFailures = 0;
   mRefusals = 0;
-  // Late news of calls started before the breaker opened does not close it.
-  if (mState == BreakerState::Probing && aTicket == mProbe) {
+  // A late success of a call that started before the breaker opened does not
+  // close it.
+  if (mState == BreakerState::Probing && aTicket == mProbeTicket) {
     Close(aNow);
   }
 }
 
 void Breaker::Failed(uint64_t aTicket, Millis aNow) {
-  if (mState == BreakerState::Probing && aTicket == mProbe) {
+  if (mState == BreakerState::Probing && aTicket == mProbeTicket) {
     Open(aNow);
     return;
   }
@@ -54,7 +55,7 @@
 }
 
 void Breaker::Refused(uint64_t aTicket, Millis aNow) {
-  if (mState == BreakerState::Probing && aTicket == mProbe) {
+  if (mState == BreakerState::Probing && aTicket == mProbeTicket) {
     Open(aNow);
     return;
   }
@@ -65,24 +66,24 @@
 }
 
 void Breaker::Cancelled(uint64_t aTicket, Millis aNow) {
-  if (mState == BreakerState::Probing && aTicket == mProbe) {
+  if (mState == BreakerState::Probing && aTicket == mProbeTicket) {
     mState = BreakerState::Open;
     mNextProbe = aNow;
   }
 }
 
-double Breaker::Share(Millis aNow) const {
+double Breaker::SlowStartShare(Millis aNow) const {
   if (!mSlowStart) {
     return 1.0;
   }
   const double passed = static_cast<double>((aNow - mClosedAt).Count());
   const double span = static_cast<double>(mLimits.mSlowStart.Count());
-  return std::clamp(passed / span, kLeastShare, 1.0);
+  return std::clamp(passed / span, kMinShare, 1.0);
 }
 
 void Breaker::Open(Millis aNow) {
   const bool again = mState == BreakerState::Probing;
-  mWait = again ? std::min(mWait * 2, mLimits.mMaxOpen) : mLimits.mOpen;
+  mWait = again ? std::min(mWait * 2, mLimits.mMaxOpenTime) : mLimits.mOpenTime;
   mState = BreakerState::Open;
   mNextProbe = aNow + mWait;
   mFailures = 0;
--- a/src/librillwall_coordination/breaker.h
+++ b/src/librillwall_coordination/breaker.h
@@ -1,11 +1,11 @@
 /// \file
-/// A circuit breaker for one upstream.
+/// Circuit breaker for one upstream.
 ///
-/// Failures in a row open it; after a while one probe is let through, whose
-/// success closes it again. Each failed probe doubles the time until the next
-/// one. After closing, the share of calls admitted rises slowly, so that all
-/// nodes together do not flood an upstream that has just come back.
-/// Sans-IO and single-threaded.
+/// Consecutive failures open the breaker. After a delay one probe call is let
+/// through, and its success closes the breaker. Each failed probe doubles the
+/// delay. After closing, the share of admitted calls rises slowly (slow start),
+/// so that all nodes together do not overload an upstream that has just
+/// recovered. Sans-IO and single-threaded.
 
 #pragma once
 
@@ -17,40 +17,43 @@
 
 enum class BreakerState { Closed, Open, Probing };
 
-/// \return the state's name for the dump
+/// \return the name of the state for the dump
 const char* BreakerStateName(BreakerState aState);
 
+/// Thresholds and times of a circuit breaker.
 struct BreakerLimits {
-  int mFailures = 3;         ///< in a row, to open
-  int mRefusals = 12;        ///< in a row, to open
-  Millis mOpen{2000};        ///< until the first probe
-  Millis mMaxOpen{30000};    ///< until a later probe, at most
-  Millis mSlowStart{10000};  ///< from closing to a full share
+  int mFailures = 3;           ///< consecutive failures that open it
+  int mRefusals = 12;          ///< consecutive refusals that open it
+  Millis mOpenTime{2000};      ///< from opening to the first probe
+  Millis mMaxOpenTime{30000};  ///< maximum time until a later probe
+  Millis mSlowStart{10000};    ///< from closing until all calls are admitted
 };
 
+/// Circuit breaker of one upstream, told about every call by its owner.
 class Breaker {
  public:
   explicit Breaker(const BreakerLimits& aLimits) : mLimits(aLimits) {}
 
-  /// \return whether a call may start now; a probe once the wait is over
+  /// \return whether a call may start now. While open, this is a probe call
+  /// after the delay.
   bool Allows(Millis aNow) const;
-  /// A call was started; it is the probe if the breaker was open.
-  /// \param aTicket the call's ticket
+  /// Records the start of a call, which is the probe if the breaker is open.
+  /// \param aTicket ticket of the call
   void Started(uint64_t aTicket, Millis aNow);
-  /// A call brought tokens or ended well.
+  /// Records that a call delivered tokens or ended successfully.
   void Succeeded(uint64_t aTicket, Millis aNow);
-  /// A call failed or timed out.
+  /// Records that a call failed or timed out.
   void Failed(uint64_t aTicket, Millis aNow);
-  /// The upstream refused a call.
+  /// Records that the upstream refused a call.
   void Refused(uint64_t aTicket, Millis aNow);
-  /// A call was cancelled, which says nothing about the upstream.
+  /// Records that a call was cancelled, which tells nothing about the upstream.
   void Cancelled(uint64_t aTicket, Millis aNow);
 
   BreakerState State() const { return mState; }
-  /// \return the instant of the next probe, while open
+  /// \return the time of the next probe, while open
   Millis NextProbe() const { return mNextProbe; }
-  /// \return the share of calls to admit, in (0, 1]; below 1 in a slow start
-  double Share(Millis aNow) const;
+  /// \return the share of calls to admit, in (0, 1]; below 1 during slow start
+  double SlowStartShare(Millis aNow) const;
 
  private:
   void Open(Millis aNow);
@@ -64,7 +67,7 @@
   Millis mNextProbe;
   Millis mClosedAt;
   bool mSlowStart = false;
-  uint64_t mProbe = 0;
+  uint64_t mProbeTicket = 0;
 };
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/breaker_test.cpp
+++ b/src/librillwall_coordination/breaker_test.cpp
@@ -43,7 +43,7 @@
 
   void LetsOneProbeThrough() {
     Fail(3);
-    mNow += mLimits.mOpen;
+    mNow += mLimits.mOpenTime;
     CPPUNIT_ASSERT(mBreaker.Allows(mNow));
     mBreaker.Started(2, mNow);
     CPPUNIT_ASSERT(!mBreaker.Allows(mNow));
@@ -53,7 +53,7 @@
 
   void WaitsLongerAfterEachFailedProbe() {
     Fail(3);
-    Millis wait = mLimits.mOpen;
+    Millis wait = mLimits.mOpenTime;
     for (int probe = 0; probe < 3; ++probe) {
       mNow += wait;
       Fail(1);
@@ -64,7 +64,7 @@
 
   void IgnoresLateNews() {
     Fail(3);
-    mNow += mLimits.mOpen;
+    mNow += mLimits.mOpenTime;
     mBreaker.Started(2, mNow);
     mBreaker.Succeeded(1, mNow);
     CPPUNIT_ASSERT(mBreaker.State() == BreakerState::Probing);
@@ -74,9 +74,11 @@
 
   void StartsSlowly() {
     LetsOneProbeThrough();
-    CPPUNIT_ASSERT(mBreaker.Share(mNow) <= 0.1);
-    CPPUNIT_ASSERT(mBreaker.Share(mNow + mLimits.mSlowStart / 2) <= 0.5);
-    CPPUNIT_ASSERT_EQUAL(1.0, mBreaker.Share(mNow + mLimits.mSlowStart));
+    CPPUNIT_ASSERT(mBreaker.SlowStartShare(mNow) <= 0.1);
+    CPPUNIT_ASSERT(mBreaker.SlowStartShare(mNow + mLimits.mSlowStart / 2) <=
+                   0.5);
+    CPPUNIT_ASSERT_EQUAL(1.0,
+                         mBreaker.SlowStartShare(mNow + mLimits.mSlowStart));
   }
 
   /// Every other call fails, and its retry too: attempts per call stay under
@@ -85,9 +87,9 @@
     RetryBudget budget(0.1);
     int retries = 0;
     for (int calls = 1; calls <= 10000; ++calls) {
-      budget.Earn();
+      budget.Deposit();
       const bool fails = calls % 2 == 0;
-      while (fails && budget.Draw(CallClass::Interactive)) {
+      while (fails && budget.TryWithdraw(CallClass::Interactive)) {
         ++retries;
       }
       CPPUNIT_ASSERT(calls < 10 || retries <= calls / 10);
@@ -98,11 +100,11 @@
   void BudgetKeepsSomeForInteractive() {
     RetryBudget budget(0.1);
     for (int calls = 0; calls < 1000; ++calls) {
-      budget.Earn();
+      budget.Deposit();
     }
-    while (budget.Draw(CallClass::Training)) {
+    while (budget.TryWithdraw(CallClass::Training)) {
     }
-    CPPUNIT_ASSERT(budget.Draw(CallClass::Interactive));
+    CPPUNIT_ASSERT(budget.TryWithdraw(CallClass::Interactive));
   }
 
  private:
--- a/src/librillwall_coordination/dispatch_tuning.h
+++ b/src/librillwall_coordination/dispatch_tuning.h
@@ -1,7 +1,7 @@
 /// \file
-/// Constants of the dispatcher's mechanisms, in one place so that benchmarks
-/// can switch each one off and measure what it brings. docs/design/routing.md,
-/// limits.md, fairness.md and retries.md give the reasons for the values.
+/// Constants of the dispatcher's mechanisms, in one place so that a benchmark
+/// can switch off each mechanism and measure its effect. The reasons for the
+/// values are in docs/design/routing.md, limits.md, fairness.md and retries.md.
 
 #pragma once
 
@@ -9,33 +9,38 @@
 
 namespace rillwall {
 
+/// Tuning parameters of routing, limits and queueing.
 struct DispatchTuning {
   // Routing.
-  int mChoices = 2;             ///< engines drawn per zone
-  Millis mReportMemory{1000};   ///< age at which a report counts 1/e
-  bool mOwnCountedOnce = true;  ///< take own calls out of the reported load
-  bool mDecayToPeers = true;    ///< towards the peers' mean, not to nothing
-  double mAwaitingWeight = 2;   ///< extra load of a call without a token yet
-  double mZonePenalty = 0.3;    ///< of another zone, as a share of the slots
-  bool mPrefixHomes = true;     ///< several for a popular prefix
-  double mPrefixBonus = 0.2;    ///< of the prefix's engine, likewise
-  double mPrefixBound = 1.25;   ///< of the mean load, for the prefix's engine
+  int mChoices = 2;               ///< random engines compared per zone
+  Millis mReportDecayTime{1000};  ///< age at which a report weighs 1/e
+  bool mSubtractOwnCalls = true;  ///< subtract own calls from the reported load
+  bool mDecayToPeerMean = true;  ///< decay reports to the peers' mean, not to 0
+  double mAwaitingWeight = 2;  ///< extra load of a call before its first token
+  double mZonePenalty = 0.3;   ///< for another zone, as a share of the slots
+  /// Give a popular prefix several home engines.
+  bool mMultiplePrefixHomes = true;
+  double mPrefixBonus = 0.2;  ///< for a home engine, as a share of the slots
+  /// Maximum load of a home engine, as a multiple of the mean load.
+  double mPrefixLoadBound = 1.25;
   // Limits.
-  bool mShareSlots = true;      ///< claim only a part of reported free slots
-  double mInteractiveGain = 1;  ///< part claimed by one report, see SlotShare()
-  double mTrainingGain = 0.5;
-  double mInteractiveEmpty = 0.5;  ///< part of an empty engine's slots
-  double mTrainingEmpty = 0.1;
-  double mInteractiveBack = 0.5;  ///< evens out the nodes' parts
-  bool mMoveTraining = true;      ///< off engines that cannot run it now
-  Millis mOwnMemory{500};  ///< for own calls as a lagging report saw them
-  bool mLimitByReports = true;
-  bool mLimitByFirstTokens = true;
-  bool mWeighSpeed = true;   ///< weigh engines down that are slower
-  Millis mSlowStart{10000};  ///< from a breaker's closing to a full share
+  bool mShareSlots = true;  ///< claim only a part of the reported free slots
+  double mInteractiveGain = 1;  ///< part claimed per report, see SlotShareGain
+  double mTrainingGain = 0.5;   ///< likewise, for training calls
+  double mInteractiveEmptyFraction = 0.5;  ///< part claimed of an empty engine
+  double mTrainingEmptyFraction = 0.1;     ///< likewise, for training calls
+  double mInteractiveRebalance = 0.5;      ///< evens out the parts of the nodes
+  bool mMoveTraining = true;  ///< move training calls off stuck or slow engines
+  /// Time constant of the average of own calls, which matches them with reports
+  /// that lag.
+  Millis mOwnSmoothingTime{500};
+  bool mLimitByReports = true;      ///< lower the limit by load reports
+  bool mLimitByFirstTokens = true;  ///< lower it by overdue first tokens
+  bool mWeightBySpeed = true;       ///< lower the limit of slow engines
+  Millis mSlowStart{10000};  ///< from a breaker's closing to all calls admitted
   // Queue.
-  bool mRefuseEarly = true;  ///< at once when the wait would be too long
-  double mWaitMargin = 1.5;  ///< the estimated wait is taken this much longer
+  bool mRefuseEarly = true;  ///< refuse at once if the wait is too long
+  double mWaitMargin = 1.5;  ///< factor for the estimated wait
   Millis mPreemptAfter{40};  ///< wait of an interactive call; 0: never
 };
 
--- a/src/librillwall_coordination/dispatcher.cpp
+++ b/src/librillwall_coordination/dispatcher.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 constexpr Millis kRefreshPeriod{100};
-constexpr Millis kRememberLeaving{60000};
+constexpr Millis kLeavingRetention{60000};
 
 BreakerLimits BreakerLimitsOf(const DispatcherLimits& aLimits,
                               const DispatchTuning& aTuning) {
   return {.mFailures = aLimits.mBreakerFailures,
-          .mOpen = aLimits.mBreakerOpen,
+          .mOpenTime = aLimits.mBreakerOpenTime,
           .mSlowStart = aTuning.mSlowStart};
 }
 }  // namespace
@@ -33,17 +33,17 @@
     engine->Unlist();
   }
   for (Upstream& upstream : aEngines) {
-    TakeEngine(std::move(upstream));
+    AddOrUpdateEngine(std::move(upstream));
   }
   std::erase_if(mEngines, [](const auto& aEntry) {
-    return !aEntry.second->Listed() && aEntry.second->Own() == 0;
+    return !aEntry.second->Listed() && aEntry.second->OwnCalls() == 0;
   });
   mRules = aRules;
   RebuildPools(aNow);
   ApplyRules(aRules);
 }
 
-void Dispatcher::Impl::TakeEngine(Upstream aUpstream) {
+void Dispatcher::Impl::AddOrUpdateEngine(Upstream aUpstream) {
   if (aUpstream.mKind != UpstreamKind::Engine) {
     return;
   }
@@ -55,9 +55,9 @@
   }
   auto engine = std::make_unique<EngineState>(
       std::move(aUpstream), BreakerLimitsOf(mLimits, mTuning), mTuning);
-  const auto leaving = mLeavingUnknown.find(id);
-  if (leaving != mLeavingUnknown.end()) {
-    engine->MarkLeavingUntil(leaving->second + kRememberLeaving);
+  const auto leaving = mUnknownLeaving.find(id);
+  if (leaving != mUnknownLeaving.end()) {
+    engine->MarkLeavingUntil(leaving->second + kLeavingRetention);
   }
   mEngines.emplace(id, std::move(engine));
 }
@@ -85,13 +85,13 @@
   for (auto& [name, model] : mModels) {
     model->mInteractive.ResetShares();
     model->mTraining.ResetShares();
-    for (const HouseRule& house : aRules.mHouses) {
+    for (const HouseRule& account : aRules.mHouses) {
       FairQueue& queue = model->mInteractive;
-      queue.SetShare(queue.Find(house.mName), house.mShare);
+      queue.SetShare(queue.FindOrAdd(account.mName), account.mShare);
     }
     for (const TrainerRule& trainer : aRules.mTrainers) {
       FairQueue& queue = model->mTraining;
-      queue.SetShare(queue.Find(trainer.mName), trainer.mShare);
+      queue.SetShare(queue.FindOrAdd(trainer.mName), trainer.mShare);
     }
   }
 }
@@ -99,10 +99,10 @@
 void Dispatcher::Impl::MarkLeaving(std::string_view aUpstream, Millis aNow) {
   const auto found = mEngines.find(aUpstream);
   if (found == mEngines.end()) {
-    std::erase_if(mLeavingUnknown, [aNow](const auto& aEntry) {
-      return aNow - aEntry.second >= kRememberLeaving;
+    std::erase_if(mUnknownLeaving, [aNow](const auto& aEntry) {
+      return aNow - aEntry.second >= kLeavingRetention;
     });
-    mLeavingUnknown.insert_or_assign(std::string(aUpstream), aNow);
+    mUnknownLeaving.insert_or_assign(std::string(aUpstream), aNow);
     return;
   }
   EngineState& engine = *found->second;
@@ -110,20 +110,21 @@
   Model(engine.Info().mName).mPool.RefreshAll(aNow);
 }
 
-ModelQueue& Dispatcher::Impl::Model(const std::string& aName) {
-  std::unique_ptr<ModelQueue>& model = mModels[aName];
+ModelState& Dispatcher::Impl::Model(const std::string& aName) {
+  std::unique_ptr<ModelState>& model = mModels[aName];
   if (!model) {
-    model = std::make_unique<ModelQueue>(mZone, mTuning);
+    model = std::make_unique<ModelState>(mZone, mTuning);
   }
   return *model;
 }
 
-void Dispatcher::Impl::FindOverdue(ModelQueue& aModel, Millis aNow) {
+void Dispatcher::Impl::LowerLimitsForOverdueCalls(ModelState& aModel,
+                                                  Millis aNow) {
   std::vector<int64_t> overdue(aModel.mPool.Engines().size(), 0);
-  for (const uint64_t ticket : aModel.mAwaiting) {
+  for (const uint64_t ticket : aModel.mAwaitingFirstToken) {
     const DispatchedCall& call = mCalls.at(ticket);
     const EngineState& engine = *call.mEngine;
-    if (aModel.mPool.Has(engine) &&
+    if (aModel.mPool.HasEngine(engine) &&
         engine.Overdue(call.mSpec.mClass, call.mStartedAt, aNow)) {
       ++overdue[engine.Index()];
     }
@@ -146,13 +147,13 @@
   }
   for (auto& [name, model] : mModels) {
     if (refresh) {
-      FindOverdue(*model, aNow);
+      LowerLimitsForOverdueCalls(*model, aNow);
       model->mPool.RefreshAll(aNow);
     }
-    Pump(*model, out, aNow);
+    StartQueued(*model, out, aNow);
     Preempt(*model, out, aNow);
     if (refresh) {
-      RefuseHopeless(*model, out, aNow);
+      RefuseUnstartable(*model, out, aNow);
       MoveTraining(*model, out, aNow);
     }
   }
@@ -218,11 +219,11 @@
   if (found == mImpl->mModels.end()) {
     return 0;
   }
-  const ModelQueue& model = *found->second;
+  const ModelState& model = *found->second;
   const auto queued =
       static_cast<int64_t>(model.mTraining.Size() + model.mInteractive.Size());
-  const int64_t room = model.mPool.FreeTrainingSlots(mImpl->mNow);
-  return std::max<int64_t>(room - queued, 0);
+  const int64_t freeSlots = model.mPool.FreeTrainingSlots(mImpl->mNow);
+  return std::max<int64_t>(freeSlots - queued, 0);
 }
 
 std::string Dispatcher::Dump() const { return mImpl->Dump(); }
--- a/src/librillwall_coordination/dispatcher_compare_bench.cpp
+++ b/src/librillwall_coordination/dispatcher_compare_bench.cpp
@@ -240,26 +240,26 @@
        Tuned(&T::mShareSlots, false)},
       {"six_choices/stale", Stale(), Tuned(&T::mChoices, 6)},
       {"six_choices/busy", Busy(), Tuned(&T::mChoices, 6)},
-      {"own_counted_twice/busy", Busy(), Tuned(&T::mOwnCountedOnce, false)},
+      {"own_counted_twice/busy", Busy(), Tuned(&T::mSubtractOwnCalls, false)},
       {"report_memory_100s/stale", Stale(),
-       Tuned(&T::mReportMemory, Millis(100000))},
+       Tuned(&T::mReportDecayTime, Millis(100000))},
       {"report_memory_0/unequal", Unequal(),
-       Tuned(&T::mReportMemory, Millis(1))},
-      {"decay_to_nothing/stale", Stale(), Tuned(&T::mDecayToPeers, false)},
+       Tuned(&T::mReportDecayTime, Millis(1))},
+      {"decay_to_nothing/stale", Stale(), Tuned(&T::mDecayToPeerMean, false)},
       {"no_awaiting_weight/stale", Stale(), Tuned(&T::mAwaitingWeight, 0.0)},
       {"no_zone_penalty/zones", Zones(), Tuned(&T::mZonePenalty, 0.0)},
       {"no_zone_penalty/hot", HotZone(), Tuned(&T::mZonePenalty, 0.0)},
       {"zone_only/hot", HotZone(), Tuned(&T::mZonePenalty, 9.0)},
       {"no_prefix/300", Prefixes(300), Tuned(&T::mPrefixBonus, 0.0)},
       {"no_prefix/3000", Prefixes(3000), Tuned(&T::mPrefixBonus, 0.0)},
-      {"one_home/3", Prefixes(3), Tuned(&T::mPrefixHomes, false)},
+      {"one_home/3", Prefixes(3), Tuned(&T::mMultiplePrefixHomes, false)},
       {"unbounded/3000", Prefixes(3000),
        [](Scenario& aScenario) {
          aScenario.mTuning.mPrefixBonus = 9;
-         aScenario.mTuning.mPrefixBound = 100;
-         aScenario.mTuning.mPrefixHomes = false;
+         aScenario.mTuning.mPrefixLoadBound = 100;
+         aScenario.mTuning.mMultiplePrefixHomes = false;
        }},
-      {"no_speed_weight/grey", Grey(), Tuned(&T::mWeighSpeed, false)},
+      {"no_speed_weight/grey", Grey(), Tuned(&T::mWeightBySpeed, false)},
       {"no_moving/grey", Grey(), Tuned(&T::mMoveTraining, false)},
   };
 }
@@ -273,7 +273,7 @@
       {"no_slot_shares/overloaded", OverloadedInteractive(),
        Tuned(&T::mShareSlots, false)},
       {"no_evening_out/overloaded", OverloadedInteractive(),
-       Tuned(&T::mInteractiveBack, 0.0)},
+       Tuned(&T::mInteractiveRebalance, 0.0)},
       {"limit_without_reports/short", ShortOfSlots(false),
        Tuned(&T::mLimitByReports, false)},
       {"limit_without_tokens/short", ShortOfSlots(false),
--- a/src/librillwall_coordination/dispatcher_dump.cpp
+++ b/src/librillwall_coordination/dispatcher_dump.cpp
@@ -1,4 +1,4 @@
-// The dispatcher's state as JSON.
+// Dump of the dispatcher's state as JSON.
 
 #include <boost/json.hpp>
 
@@ -10,13 +10,13 @@
 
 boost::json::object DumpEngine(const EngineState& aEngine, double aPrior,
                                Millis aNow) {
-  const LoadReport& report = aEngine.Reported();
+  const LoadReport& report = aEngine.LastReport();
   return {{"id", aEngine.Info().mId},
           {"zone", aEngine.Info().mZone},
           {"leaving", aEngine.Leaving()},
           {"breaker", BreakerStateName(aEngine.Circuit().State())},
-          {"interactive", aEngine.Own(CallClass::Interactive)},
-          {"training", aEngine.Own(CallClass::Training)},
+          {"interactive", aEngine.OwnCalls(CallClass::Interactive)},
+          {"training", aEngine.OwnCalls(CallClass::Training)},
           {"load", aEngine.Load(aPrior, aNow)},
           {"limit", aEngine.Limit(CallClass::Interactive, aNow)},
           {"version", report.mVersion},
--- a/src/librillwall_coordination/dispatcher_fakes.h
+++ b/src/librillwall_coordination/dispatcher_fakes.h
@@ -246,7 +246,8 @@
     for (size_t node = 0; node < mNodes.size(); ++node) {
       std::exponential_distribution<double> tokens(1 /
                                                    mScenario.mTrainingTokens);
-      for (int64_t room = FreeTrainingSlots(node); room > 0; --room) {
+      for (int64_t freeSlots = FreeTrainingSlots(node); freeSlots > 0;
+           --freeSlots) {
         Open(node, CallClass::Training, 1 + tokens(mRandom));
       }
     }
--- a/src/librillwall_coordination/dispatcher_impl.h
+++ b/src/librillwall_coordination/dispatcher_impl.h
@@ -1,5 +1,6 @@
 /// \file
-/// The dispatcher's state and its steps; see rillwall/dispatcher.h.
+/// State and steps of the dispatcher; see rillwall/dispatcher.h for what it
+/// does.
 
 #pragma once
 
@@ -27,32 +28,34 @@
 
 using CallDecisions = std::vector<CallDecision>;
 
+/// Preempting: the owner is asked to end the call in favour of an interactive
+/// one. Moving: likewise, to start it at another engine.
 enum class CallStage { Queued, Started, Preempting, Moving };
 
-struct ModelQueue;
+struct ModelState;
 
-/// A call from Submit() until its refusal or end.
+/// A call from Submit() until it is refused or ends.
 struct DispatchedCall {
   CallSpec mSpec;
   CallStage mStage = CallStage::Queued;
-  ModelQueue* mModel = nullptr;
+  ModelState* mModel = nullptr;
   FairQueue::Tenant mTenant = 0;
   FairQueue::Position mPosition;  ///< while queued
   Millis mQueuedAt;
-  Millis mExpires;  ///< when a queued call is refused
+  Millis mExpires;  ///< when the call is refused if still queued
   EngineState* mEngine = nullptr;
-  uint64_t mGeneration = 0;  ///< of the engine when started
+  uint64_t mGeneration = 0;  ///< of the engine, when the call started
   std::list<uint64_t>::iterator mTrainingPosition;  ///< while started
   std::list<uint64_t>::iterator mAwaitingPosition;  ///< until its first token
   int64_t mTokens = 0;
   Millis mStartedAt;
   Millis mLastTokenAt;
-  bool mStreaming = false;  ///< the first token has come
+  bool mStreaming = false;  ///< the first token has arrived
 };
 
 /// Queues and engines of one model.
-struct ModelQueue {
-  ModelQueue(const std::string& aZone, const DispatchTuning& aTuning)
+struct ModelState {
+  ModelState(const std::string& aZone, const DispatchTuning& aTuning)
       : mPool(aZone, aTuning) {}
 
   FairQueue& Queue(CallClass aClass) {
@@ -79,11 +82,12 @@
   int64_t mInteractiveRunning = 0;
   int64_t mTrainingRunning = 0;
   std::list<uint64_t> mTrainingCalls;  ///< started, oldest first
-  std::list<uint64_t> mAwaiting;       ///< started, without a token
-  size_t mPreempting = 0;  ///< recalled for interactive calls, not yet ended
+  std::list<uint64_t>
+      mAwaitingFirstToken;  ///< started, no token yet; oldest first
+  size_t mPreempting = 0;   ///< preempted for interactive calls, not ended yet
 };
 
-/// When a queued call is to be refused.
+/// Time at which a queued call is refused.
 struct Expiry {
   Millis mAt;
   uint64_t mTicket = 0;
@@ -92,7 +96,7 @@
   }
 };
 
-/// Counts for the dump.
+/// Counters for the dump.
 struct DispatchCounts {
   uint64_t mStarted = 0;
   uint64_t mQueued = 0;
@@ -102,6 +106,8 @@
   uint64_t mRetries = 0;
 };
 
+/// Implementation of the dispatcher: dispatcher.cpp has the engines and the
+/// timer, dispatcher_queue.cpp the calls, dispatcher_preempt.cpp preemption.
 struct Dispatcher::Impl {
   Impl(std::string aZone, DispatcherLimits aLimits, uint64_t aSeed,
        const DispatchTuning& aTuning);
@@ -110,19 +116,25 @@
   void Configure(std::vector<Upstream> aEngines, const PolicyRules& aRules,
                  Millis aNow);
   void ApplyRules(const PolicyRules& aRules);
-  void TakeEngine(Upstream aUpstream);
+  void AddOrUpdateEngine(Upstream aUpstream);
   void RebuildPools(Millis aNow);
   void MarkLeaving(std::string_view aUpstream, Millis aNow);
-  ModelQueue& Model(const std::string& aName);
+  ModelState& Model(const std::string& aName);
 
   // Admission.
   CallDecisions Submit(CallSpec aSpec, Millis aNow);
-  std::optional<CallDecision> Admit(const CallSpec& aSpec, ModelQueue* aModel,
+  /// \return the refusal of a call that must not start or wait, or nothing
+  std::optional<CallDecision> Admit(const CallSpec& aSpec, ModelState* aModel,
                                     Millis aNow);
-  bool HasRoomInQueue(CallClass aClass, CallDecisions& aOut, Millis aNow);
+  /// Sheds a queued training call for an interactive one if the queues are
+  /// full.
+  /// \return whether a call of this class may be queued
+  bool EnsureQueueSpace(CallClass aClass, CallDecisions& aOut, Millis aNow);
   void Enqueue(DispatchedCall aCall, CallDecisions& aOut, Millis aNow);
-  Millis LongestWait(const CallSpec& aSpec, Millis aNow) const;
-  Millis ExpectedWait(ModelQueue& aModel, CallClass aClass, double aAhead,
+  /// \return how long a call may be queued
+  Millis MaxWait(const CallSpec& aSpec, Millis aNow) const;
+  /// \param aAhead calls that start first
+  Millis ExpectedWait(ModelState& aModel, CallClass aClass, double aAhead,
                       Millis aNow) const;
 
   // Starts and ends.
@@ -130,25 +142,34 @@
                 Millis aNow);
   void StartAt(EngineState& aEngine, uint64_t aTicket, DispatchedCall& aCall,
                CallDecisions& aOut, Millis aNow);
-  void Pump(ModelQueue& aModel, CallDecisions& aOut, Millis aNow);
+  /// Starts queued calls while engines have free slots.
+  void StartQueued(ModelState& aModel, CallDecisions& aOut, Millis aNow);
   CallDecisions Finish(uint64_t aTicket, CallOutcome aOutcome, Millis aNow);
   void Progress(uint64_t aTicket, int64_t aTokens, Millis aNow);
-  void Leave(uint64_t aTicket, DispatchedCall& aCall);
+  /// Removes a call from its queue and forgets it.
+  void RemoveQueued(uint64_t aTicket, DispatchedCall& aCall);
   void Refuse(uint64_t aTicket, ErrorKind aReason, Millis aRetryAfter,
               CallDecisions& aOut);
-  void RefuseUnavailable(uint64_t aTicket, const ModelQueue& aModel,
+  void RefuseUnavailable(uint64_t aTicket, const ModelState& aModel,
                          CallDecisions& aOut, Millis aNow);
-  void RefuseHopeless(ModelQueue& aModel, CallDecisions& aOut, Millis aNow);
-  Millis Jitter(Millis aSpan);
+  /// Refuses queued calls that expire before any engine is usable again.
+  void RefuseUnstartable(ModelState& aModel, CallDecisions& aOut, Millis aNow);
+  /// \return a retry delay with jitter
+  Millis WithJitter(Millis aSpan);
 
   // Time.
   CallDecisions Tick(Millis aNow);
   void Expire(CallDecisions& aOut, Millis aNow);
-  void FindOverdue(ModelQueue& aModel, Millis aNow);
-  void Preempt(ModelQueue& aModel, CallDecisions& aOut, Millis aNow);
-  void MoveTraining(ModelQueue& aModel, CallDecisions& aOut, Millis aNow);
-  void Recall(const DispatchedCall& aCall, CallDecisions& aOut);
-  DispatchedCall* FindVictim(ModelQueue& aModel, const CallSpec& aWaiting,
+  /// Lowers the limits of engines that hold calls with an overdue first token.
+  void LowerLimitsForOverdueCalls(ModelState& aModel, Millis aNow);
+  /// Preempts training calls for interactive calls that have waited too long.
+  void Preempt(ModelState& aModel, CallDecisions& aOut, Millis aNow);
+  /// Moves training calls off engines that cannot run them.
+  void MoveTraining(ModelState& aModel, CallDecisions& aOut, Millis aNow);
+  /// Asks the owner to end a started call.
+  void RequestPreemption(const DispatchedCall& aCall, CallDecisions& aOut);
+  /// \return the training call to preempt for a waiting one, or nullptr
+  DispatchedCall* FindVictim(ModelState& aModel, const CallSpec& aWaiting,
                              Millis aNow);
 
   std::string Dump() const;
@@ -159,8 +180,10 @@
   std::mt19937_64 mRandom;
   PolicyRules mRules;
   std::map<std::string, std::unique_ptr<EngineState>, std::less<>> mEngines;
-  std::map<std::string, Millis, std::less<>> mLeavingUnknown;
-  std::unordered_map<std::string, std::unique_ptr<ModelQueue>> mModels;
+  /// Leaving upstreams that are not configured yet, with the time of the
+  /// report.
+  std::map<std::string, Millis, std::less<>> mUnknownLeaving;
+  std::unordered_map<std::string, std::unique_ptr<ModelState>> mModels;
   std::unordered_map<uint64_t, DispatchedCall> mCalls;
   std::priority_queue<Expiry, std::vector<Expiry>, std::greater<>> mExpiries;
   size_t mQueuedCalls = 0;
--- a/src/librillwall_coordination/dispatcher_queue.cpp
+++ b/src/librillwall_coordination/dispatcher_queue.cpp
@@ -1,4 +1,4 @@
-// Admission, queueing, starts and ends of the dispatcher's calls.
+// Admission, queueing, start and end of the dispatcher's calls.
 
 #include <algorithm>
 #include <utility>
@@ -8,16 +8,15 @@
 namespace rillwall {
 
 namespace {
-constexpr Millis kShortestRetryAfter{100};
-constexpr Millis kLongestRetryAfter{30000};
+constexpr Millis kMinRetryAfter{100};
+constexpr Millis kMaxRetryAfter{30000};
 constexpr Millis kUnavailableRetryAfter{1000};
 constexpr Millis kForever{INT64_MAX / 2};
 }  // namespace
 
-Millis Dispatcher::Impl::Jitter(Millis aSpan) {
-  const Millis span =
-      std::clamp(aSpan, kShortestRetryAfter, kLongestRetryAfter);
-  // Spread, so that callers refused together do not come back together.
+Millis Dispatcher::Impl::WithJitter(Millis aSpan) {
+  const Millis span = std::clamp(aSpan, kMinRetryAfter, kMaxRetryAfter);
+  // Jitter keeps callers that were refused together from retrying together.
   std::uniform_int_distribution<int64_t> extra(0, span.Count() / 4);
   return span + Millis(extra(mRandom));
 }
@@ -28,28 +27,28 @@
   aOut.push_back(CallDecision{.mTicket = aTicket,
                               .mAction = CallAction::Refuse,
                               .mReason = aReason,
-                              .mRetryAfter = Jitter(aRetryAfter)});
+                              .mRetryAfter = WithJitter(aRetryAfter)});
 }
 
-Millis Dispatcher::Impl::LongestWait(const CallSpec& aSpec, Millis aNow) const {
+Millis Dispatcher::Impl::MaxWait(const CallSpec& aSpec, Millis aNow) const {
   const bool unlimited = aSpec.mDeadline.Count() == 0;
   const Millis wait = unlimited ? kForever : aSpec.mDeadline - aNow;
   return aSpec.mClass == CallClass::Interactive
-             ? std::min(wait, mLimits.mInteractiveQueue)
+             ? std::min(wait, mLimits.mMaxInteractiveWait)
              : wait;
 }
 
 std::optional<CallDecision> Dispatcher::Impl::Admit(const CallSpec& aSpec,
-                                                    ModelQueue* aModel,
+                                                    ModelState* aModel,
                                                     Millis aNow) {
   CallDecisions out;
   if (!aModel) {
     Refuse(aSpec.mTicket, ErrorKind::NotFound, kUnavailableRetryAfter, out);
   } else if (mCalls.contains(aSpec.mTicket)) {
     Refuse(aSpec.mTicket, ErrorKind::Conflict, kUnavailableRetryAfter, out);
-  } else if (LongestWait(aSpec, aNow) <= Millis(0)) {
-    Refuse(aSpec.mTicket, ErrorKind::Timeout, kShortestRetryAfter, out);
-  } else if (aSpec.mRetry && !mBudget.Draw(aSpec.mClass)) {
+  } else if (MaxWait(aSpec, aNow) <= Millis(0)) {
+    Refuse(aSpec.mTicket, ErrorKind::Timeout, kMinRetryAfter, out);
+  } else if (aSpec.mRetry && !mBudget.TryWithdraw(aSpec.mClass)) {
     Refuse(aSpec.mTicket, ErrorKind::Overloaded, kUnavailableRetryAfter, out);
   }
   if (out.empty()) {
@@ -61,7 +60,7 @@
 CallDecisions Dispatcher::Impl::Submit(CallSpec aSpec, Millis aNow) {
   mNow = aNow;
   const auto found = mModels.find(aSpec.mModel);
-  ModelQueue* model = found == mModels.end() ? nullptr : found->second.get();
+  ModelState* model = found == mModels.end() ? nullptr : found->second.get();
   if (const auto refusal = Admit(aSpec, model, aNow)) {
     return {*refusal};
   }
@@ -69,7 +68,7 @@
   const uint64_t ticket = aSpec.mTicket;
   FairQueue& queue = model->Queue(aSpec.mClass);
   DispatchedCall call{.mSpec = std::move(aSpec), .mModel = model};
-  call.mTenant = queue.Find(call.mSpec.mTenant);
+  call.mTenant = queue.FindOrAdd(call.mSpec.mTenant);
   call.mQueuedAt = aNow;
   const bool first = model->mInteractive.Size() == 0 &&
                      (call.mSpec.mClass == CallClass::Interactive ||
@@ -87,39 +86,39 @@
 }
 
 void Dispatcher::Impl::RefuseUnavailable(uint64_t aTicket,
-                                         const ModelQueue& aModel,
+                                         const ModelState& aModel,
                                          CallDecisions& aOut, Millis aNow) {
   const Millis probe = aModel.mPool.NextProbe(aNow);
   const Millis wait = probe < kForever ? probe - aNow : kUnavailableRetryAfter;
   Refuse(aTicket, ErrorKind::Unavailable, wait, aOut);
 }
 
-void Dispatcher::Impl::RefuseHopeless(ModelQueue& aModel, CallDecisions& aOut,
-                                      Millis aNow) {
+void Dispatcher::Impl::RefuseUnstartable(ModelState& aModel,
+                                         CallDecisions& aOut, Millis aNow) {
   if (aModel.mPool.AnyUsable(aNow)) {
     return;
   }
   const Millis probe = aModel.mPool.NextProbe(aNow);
-  std::vector<uint64_t> hopeless;
+  std::vector<uint64_t> unstartable;
   const auto visit = [&](uint64_t aTicket) {
     if (mCalls.at(aTicket).mExpires <= probe) {
-      hopeless.push_back(aTicket);
+      unstartable.push_back(aTicket);
     }
     return true;
   };
   aModel.mInteractive.ForEach(visit);
   aModel.mTraining.ForEach(visit);
-  for (const uint64_t ticket : hopeless) {
-    Leave(ticket, mCalls.at(ticket));
+  for (const uint64_t ticket : unstartable) {
+    RemoveQueued(ticket, mCalls.at(ticket));
     RefuseUnavailable(ticket, aModel, aOut, aNow);
   }
 }
 
-Millis Dispatcher::Impl::ExpectedWait(ModelQueue& aModel, CallClass aClass,
+Millis Dispatcher::Impl::ExpectedWait(ModelState& aModel, CallClass aClass,
                                       double aAhead, Millis aNow) const {
   double ahead = aAhead;
   if (aClass == CallClass::Interactive && mTuning.mPreemptAfter.Count() > 0) {
-    // Training calls can be made to give way at once.
+    // Training calls can be preempted at once.
     ahead -= static_cast<double>(aModel.mTrainingRunning);
   }
   if (ahead < 0) {
@@ -127,23 +126,23 @@
   }
   const Millis wait =
       aModel.Wait(aClass).Wait(ahead, aModel.Running(aClass), aNow);
-  const double cautious = static_cast<double>(wait.Count());
-  return Millis(static_cast<int64_t>(cautious * mTuning.mWaitMargin));
+  const double estimatedMs = static_cast<double>(wait.Count());
+  return Millis(static_cast<int64_t>(estimatedMs * mTuning.mWaitMargin));
 }
 
-bool Dispatcher::Impl::HasRoomInQueue(CallClass aClass, CallDecisions& aOut,
-                                      Millis) {
+bool Dispatcher::Impl::EnsureQueueSpace(CallClass aClass, CallDecisions& aOut,
+                                        Millis) {
   if (mQueuedCalls < mLimits.mMaxQueued) {
     return true;
   }
   if (aClass == CallClass::Training) {
     return false;
   }
-  // The lowest class is shed first.
+  // Queued training calls are shed for interactive ones.
   for (auto& [name, model] : mModels) {
-    if (const auto newest = model->mTraining.Newest()) {
+    if (const auto newest = model->mTraining.ShedCandidate()) {
       DispatchedCall& shed = mCalls.at(*newest);
-      Leave(*newest, shed);
+      RemoveQueued(*newest, shed);
       Refuse(*newest, ErrorKind::Overloaded, kUnavailableRetryAfter, aOut);
       return true;
     }
@@ -155,31 +154,31 @@
                                Millis aNow) {
   const uint64_t ticket = aCall.mSpec.mTicket;
   const CallClass kind = aCall.mSpec.mClass;
-  ModelQueue& model = *aCall.mModel;
+  ModelState& model = *aCall.mModel;
   FairQueue& queue = model.Queue(kind);
-  const Millis longest = LongestWait(aCall.mSpec, aNow);
+  const Millis maxWait = MaxWait(aCall.mSpec, aNow);
   const Millis wait =
-      ExpectedWait(model, kind, queue.Ahead(aCall.mTenant), aNow);
-  if (mTuning.mRefuseEarly && wait > longest) {
-    Refuse(ticket, ErrorKind::Overloaded, wait - longest, aOut);
+      ExpectedWait(model, kind, queue.CallsAhead(aCall.mTenant), aNow);
+  if (mTuning.mRefuseEarly && wait > maxWait) {
+    Refuse(ticket, ErrorKind::Overloaded, wait - maxWait, aOut);
     return;
   }
-  if (!HasRoomInQueue(kind, aOut, aNow)) {
+  if (!EnsureQueueSpace(kind, aOut, aNow)) {
     Refuse(ticket, ErrorKind::Overloaded, kUnavailableRetryAfter, aOut);
     return;
   }
   ++mCounts.mQueued;
   ++mQueuedCalls;
-  aCall.mExpires = aNow + longest;
+  aCall.mExpires = aNow + maxWait;
   aCall.mPosition = queue.Push(aCall.mTenant, ticket);
   mExpiries.push(Expiry{aCall.mExpires, ticket});
   mCalls.emplace(ticket, std::move(aCall));
-  Pump(model, aOut, aNow);
+  StartQueued(model, aOut, aNow);
 }
 
 bool Dispatcher::Impl::TryStart(uint64_t aTicket, DispatchedCall& aCall,
                                 CallDecisions& aOut, Millis aNow) {
-  ModelQueue& model = *aCall.mModel;
+  ModelState& model = *aCall.mModel;
   EngineState* engine = model.mPool.Choose(aCall.mSpec, mRandom, aNow);
   if (!engine) {
     return false;
@@ -191,13 +190,13 @@
 void Dispatcher::Impl::StartAt(EngineState& aEngine, uint64_t aTicket,
                                DispatchedCall& aCall, CallDecisions& aOut,
                                Millis aNow) {
-  ModelQueue& model = *aCall.mModel;
+  ModelState& model = *aCall.mModel;
   const CallClass kind = aCall.mSpec.mClass;
   aCall.mStage = CallStage::Started;
   aCall.mEngine = &aEngine;
   aCall.mStartedAt = aNow;
-  aCall.mAwaitingPosition =
-      model.mAwaiting.insert(model.mAwaiting.end(), aTicket);
+  aCall.mAwaitingPosition = model.mAwaitingFirstToken.insert(
+      model.mAwaitingFirstToken.end(), aTicket);
   aCall.mGeneration = aEngine.Info().mGeneration;
   aEngine.Started(kind, aTicket, aNow);
   model.mPool.Refresh(aEngine, aNow);
@@ -211,7 +210,7 @@
   if (aCall.mSpec.mRetry) {
     ++mCounts.mRetries;
   } else {
-    mBudget.Earn();
+    mBudget.Deposit();
   }
   ++mCounts.mStarted;
   aOut.push_back(CallDecision{.mTicket = aTicket,
@@ -219,14 +218,14 @@
                               .mUpstream = aEngine.Info().mId});
 }
 
-void Dispatcher::Impl::Pump(ModelQueue& aModel, CallDecisions& aOut,
-                            Millis aNow) {
+void Dispatcher::Impl::StartQueued(ModelState& aModel, CallDecisions& aOut,
+                                   Millis aNow) {
   const auto start = [&](uint64_t aTicket) {
     return TryStart(aTicket, mCalls.at(aTicket), aOut, aNow);
   };
   for (const CallClass kind : {CallClass::Interactive, CallClass::Training}) {
     FairQueue& queue = aModel.Queue(kind);
-    while (queue.Size() > 0 && aModel.mPool.AnyRoom(kind)) {
+    while (queue.Size() > 0 && aModel.mPool.AnyFreeSlot(kind)) {
       if (!queue.TakeFirst(start)) {
         break;
       }
@@ -250,7 +249,7 @@
   }
   if (!call.mStreaming) {
     call.mStreaming = true;
-    call.mModel->mAwaiting.erase(call.mAwaitingPosition);
+    call.mModel->mAwaitingFirstToken.erase(call.mAwaitingPosition);
     engine.FirstToken(call.mSpec.mClass, aTicket, aNow - call.mStartedAt, aNow);
   } else {
     engine.Progress(aTicket, aTokens, aNow - call.mLastTokenAt, aNow);
@@ -258,7 +257,7 @@
   call.mLastTokenAt = aNow;
 }
 
-void Dispatcher::Impl::Leave(uint64_t aTicket, DispatchedCall& aCall) {
+void Dispatcher::Impl::RemoveQueued(uint64_t aTicket, DispatchedCall& aCall) {
   aCall.mModel->Queue(aCall.mSpec.mClass)
       .Remove(aCall.mTenant, aCall.mPosition);
   --mQueuedCalls;
@@ -274,20 +273,20 @@
     return out;
   }
   DispatchedCall& call = found->second;
-  ModelQueue& model = *call.mModel;
+  ModelState& model = *call.mModel;
   if (call.mStage == CallStage::Queued) {
-    Leave(aTicket, call);
+    RemoveQueued(aTicket, call);
     return out;
   }
   EngineState& engine = *call.mEngine;
   const CallClass kind = call.mSpec.mClass;
-  const bool same = call.mGeneration == engine.Info().mGeneration;
-  // A recalled call that ends otherwise says nothing about its engine.
-  const bool recalled = call.mStage != CallStage::Started;
+  const bool sameGeneration = call.mGeneration == engine.Info().mGeneration;
+  // Any end of a preempted call other than Done tells nothing about its engine.
+  const bool preempted = call.mStage != CallStage::Started;
   const bool failed = aOutcome != CallOutcome::Done;
   const CallOutcome outcome =
-      recalled && failed ? CallOutcome::Cancelled : aOutcome;
-  engine.Ended(kind, aTicket, outcome, call.mStreaming, same, aNow);
+      preempted && failed ? CallOutcome::Cancelled : aOutcome;
+  engine.Ended(kind, aTicket, outcome, call.mStreaming, sameGeneration, aNow);
   model.Queue(kind).Ended(call.mTenant,
                           call.mTokens - call.mSpec.mExpectedTokens);
   --model.Running(kind);
@@ -295,7 +294,7 @@
     model.Wait(kind).Ended(aNow - call.mStartedAt);
   }
   if (!call.mStreaming) {
-    model.mAwaiting.erase(call.mAwaitingPosition);
+    model.mAwaitingFirstToken.erase(call.mAwaitingPosition);
   }
   if (kind == CallClass::Training) {
     model.mTrainingCalls.erase(call.mTrainingPosition);
@@ -305,7 +304,7 @@
   }
   mCalls.erase(found);
   model.mPool.Refresh(engine, aNow);
-  Pump(model, out, aNow);
+  StartQueued(model, out, aNow);
   return out;
 }
 
@@ -319,15 +318,16 @@
       continue;
     }
     DispatchedCall& call = found->second;
-    const bool late =
+    const bool pastDeadline =
         call.mSpec.mDeadline.Count() != 0 && aNow >= call.mSpec.mDeadline;
-    ModelQueue& model = *call.mModel;
+    ModelState& model = *call.mModel;
     const CallClass kind = call.mSpec.mClass;
     const Millis wait = ExpectedWait(
         model, kind, static_cast<double>(model.Queue(kind).Size()), aNow);
-    Leave(expiry.mTicket, call);
-    Refuse(expiry.mTicket, late ? ErrorKind::Timeout : ErrorKind::Overloaded,
-           wait, aOut);
+    RemoveQueued(expiry.mTicket, call);
+    Refuse(expiry.mTicket,
+           pastDeadline ? ErrorKind::Timeout : ErrorKind::Overloaded, wait,
+           aOut);
   }
 }
 
--- a/src/librillwall_coordination/dispatcher_random_test.cpp
+++ b/src/librillwall_coordination/dispatcher_random_test.cpp
@@ -219,7 +219,7 @@
     if (spec.mClass == CallClass::Interactive) {
       // Between two ticks a call may be held a little longer.
       CPPUNIT_ASSERT(mNow - aCall.mSubmitted <
-                     mLimits.mInteractiveQueue + Millis(1000));
+                     mLimits.mMaxInteractiveWait + Millis(1000));
     }
   }
 
--- a/src/librillwall_coordination/dispatcher_simulation_test.cpp
+++ b/src/librillwall_coordination/dispatcher_simulation_test.cpp
@@ -137,7 +137,7 @@
     scenario.mPrefixes = 3;
     scenario.mPrefillMs = 600;
     CPPUNIT_ASSERT(Run(scenario).Percentile(0.99) < 500);
-    scenario.mTuning.mPrefixHomes = false;
+    scenario.mTuning.mMultiplePrefixHomes = false;
     CPPUNIT_ASSERT(Run(scenario).Percentile(0.99) > 500);
   }
 
--- a/src/librillwall_coordination/dispatcher_test.cpp
+++ b/src/librillwall_coordination/dispatcher_test.cpp
@@ -82,8 +82,8 @@
         mDispatcher->Progress(aFirst + call, 10, mNow);
       }
       mDispatcher->Report(aEngine, Slots(aSlots, mNow, started));
-      int64_t room = mDispatcher->FreeTrainingSlots(kModel);
-      for (; room > 0; --room) {
+      int64_t freeSlots = mDispatcher->FreeTrainingSlots(kModel);
+      for (; freeSlots > 0; --freeSlots) {
         CPPUNIT_ASSERT_EQUAL(1, Fill(CallClass::Training, 1, aFirst + started));
         ++started;
       }
@@ -182,7 +182,7 @@
   void RefusesWhatWaitedTooLong() {
     Configure({Engine("e1")}, 1);
     Fill(CallClass::Interactive, 2, 1);
-    mNow += mLimits.mInteractiveQueue;
+    mNow += mLimits.mMaxInteractiveWait;
     const auto out = mDispatcher->Tick(mNow);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, out.size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, out[0].mTicket);
@@ -196,7 +196,7 @@
       mDispatcher->Finish(ticket, CallOutcome::Failed, mNow);
     }
     CPPUNIT_ASSERT_EQUAL(0, Fill(CallClass::Interactive, 1, 10));
-    mNow += mLimits.mBreakerOpen;
+    mNow += mLimits.mBreakerOpenTime;
     mDispatcher->Tick(mNow);
     CPPUNIT_ASSERT_EQUAL(1, Fill(CallClass::Interactive, 2, 20));
     mDispatcher->Finish(20, CallOutcome::Done, mNow);
--- a/src/librillwall_coordination/engine_state.cpp
+++ b/src/librillwall_coordination/engine_state.cpp
@@ -11,36 +11,38 @@
 
 namespace {
 constexpr Millis kStalledAfter{3000};
-// A report this young says that the engine answers.
-constexpr Millis kReportAnswers{3000};
+// A report younger than this shows that the engine responds.
+constexpr Millis kFreshReportAge{3000};
 
-LimiterSigns SignsOf(const DispatchTuning& aTuning) {
+LimiterSigns SignalsOf(const DispatchTuning& aTuning) {
   return {.mReports = aTuning.mLimitByReports,
           .mFirstTokens = aTuning.mLimitByFirstTokens};
 }
 
-/// The same on every node, and spread evenly over engines.
-double RoundingOf(const std::string& aId) {
+/// \return a value in [0, 1) that is the same on every node and uniformly
+/// distributed over engines
+double HeadroomRounding(const std::string& aId) {
   constexpr double kRange = 18446744073709551616.0;
   return static_cast<double>(XXH3_64bits(aId.data(), aId.size())) / kRange;
 }
 
-// Until the first report; other nodes know as little.
-constexpr int64_t kFirstInteractiveShare = 16;
-constexpr int64_t kFirstTrainingShare = 1;
+// Calls that this node may start before the first report. The other nodes have
+// no report either and may start as many.
+constexpr int64_t kInitialInteractiveSlots = 16;
+constexpr int64_t kInitialTrainingSlots = 1;
 
 SlotShare InteractiveShare(const DispatchTuning& aTuning) {
   return {{.mGain = aTuning.mInteractiveGain,
-           .mEmptyFraction = aTuning.mInteractiveEmpty,
-           .mRebalance = aTuning.mInteractiveBack,
+           .mEmptyFraction = aTuning.mInteractiveEmptyFraction,
+           .mRebalance = aTuning.mInteractiveRebalance,
            .mAtLeastOne = true},
-          kFirstInteractiveShare};
+          kInitialInteractiveSlots};
 }
 
 SlotShare TrainingShare(const DispatchTuning& aTuning) {
   return {{.mGain = aTuning.mTrainingGain,
-           .mEmptyFraction = aTuning.mTrainingEmpty},
-          kFirstTrainingShare};
+           .mEmptyFraction = aTuning.mTrainingEmptyFraction},
+          kInitialTrainingSlots};
 }
 }  // namespace
 
@@ -50,55 +52,56 @@
       mLimits(aLimits),
       mTuning(&aTuning),
       mBreaker(aLimits),
-      mLimiter(SignsOf(aTuning)),
+      mLimiter(SignalsOf(aTuning)),
       mLeaving(mUpstream.mLeaving),
       mInteractiveShare(InteractiveShare(aTuning)),
       mTrainingShare(TrainingShare(aTuning)),
-      mRounding(RoundingOf(mUpstream.mId)) {}
+      mHeadroomRounding(HeadroomRounding(mUpstream.mId)) {}
 
 void EngineState::Update(Upstream aUpstream) {
   mListed = true;
   if (aUpstream.mGeneration != mUpstream.mGeneration) {
     mBreaker = Breaker(mLimits);
-    mLimiter = Limiter(SignsOf(*mTuning));
+    mLimiter = Limiter(SignalsOf(*mTuning));
     mSpeed.Clear();
     mWeight = 1;
     mHasReport = false;
     mReport = LoadReport();
-    mOwnAtReport = 0;
+    mOwnCallsAtReport = 0;
     mInteractiveShare = InteractiveShare(*mTuning);
     mTrainingShare = TrainingShare(*mTuning);
     mLeaving = false;
     mLeavingUntil = Millis(0);
   }
-  // The list lags: it does not undo what another source said earlier.
+  // The host list lags, so it does not clear a mark that another source set.
   mLeaving = mLeaving || aUpstream.mLeaving;
   mUpstream = std::move(aUpstream);
 }
 
 void EngineState::Report(const LoadReport& aReport, double aRandom) {
-  SmoothOwn(aReport.mAt);
+  UpdateSmoothedOwnCalls(aReport.mAt);
   mReport = aReport;
   mHasReport = true;
-  mOwnAtReport = mOwnSmooth;
+  mOwnCallsAtReport = mSmoothedOwnCalls;
   mLimiter.Report(aReport);
   mLeaving = mLeaving || aReport.mLeaving;
-  ShareSlots(aRandom);
+  UpdateSlotShares(aRandom);
 }
 
-void EngineState::SmoothOwn(Millis aNow) {
-  const double age = static_cast<double>((aNow - mOwnSmoothAt).Count());
-  const double memory =
-      std::max<double>(static_cast<double>(mTuning->mOwnMemory.Count()), 1e-3);
-  const double weight = std::exp(-std::max(age, 0.0) / memory);
-  mOwnSmooth += (static_cast<double>(Own()) - mOwnSmooth) * (1 - weight);
-  mOwnSmoothAt = aNow;
+void EngineState::UpdateSmoothedOwnCalls(Millis aNow) {
+  const double age = static_cast<double>((aNow - mSmoothedAt).Count());
+  const double decayMs = std::max<double>(
+      static_cast<double>(mTuning->mOwnSmoothingTime.Count()), 1e-3);
+  const double weight = std::exp(-std::max(age, 0.0) / decayMs);
+  mSmoothedOwnCalls +=
+      (static_cast<double>(OwnCalls()) - mSmoothedOwnCalls) * (1 - weight);
+  mSmoothedAt = aNow;
 }
 
-void EngineState::ShareSlots(double aRandom) {
+void EngineState::UpdateSlotShares(double aRandom) {
   const Millis now = mReport.mAt;
   const auto total = static_cast<double>(mReport.mRunning + mReport.mWaiting);
-  mInteractiveShare.Report({.mOwn = static_cast<double>(Own()),
+  mInteractiveShare.Report({.mOwn = static_cast<double>(OwnCalls()),
                             .mTotal = total,
                             .mTarget = Limit(CallClass::Interactive, now),
                             .mRandom = aRandom});
@@ -109,36 +112,36 @@
 }
 
 void EngineState::Started(CallClass aClass, uint64_t aTicket, Millis aNow) {
-  if (Own() == 0) {
-    mQuietSince = aNow;
+  if (OwnCalls() == 0) {
+    mLastActivity = aNow;
   }
-  SmoothOwn(aNow);
+  UpdateSmoothedOwnCalls(aNow);
   ++(aClass == CallClass::Interactive ? mInteractive : mTraining);
-  ++mAwaiting;
+  ++mAwaitingFirstToken;
   mBreaker.Started(aTicket, aNow);
 }
 
 void EngineState::FirstToken(CallClass aClass, uint64_t aTicket, Millis aTime,
                              Millis aNow) {
-  --mAwaiting;
+  --mAwaitingFirstToken;
   mLimiter.FirstToken(aClass, aTime);
-  mQuietSince = aNow;
+  mLastActivity = aNow;
   mBreaker.Succeeded(aTicket, aNow);
 }
 
 void EngineState::Progress(uint64_t aTicket, int64_t aTokens, Millis aSpan,
                            Millis aNow) {
   mSpeed.Add(aTokens, aSpan, aNow);
-  mQuietSince = aNow;
+  mLastActivity = aNow;
   mBreaker.Succeeded(aTicket, aNow);
 }
 
 void EngineState::Ended(CallClass aClass, uint64_t aTicket,
                         CallOutcome aOutcome, bool aStreaming,
                         bool aSameGeneration, Millis aNow) {
-  SmoothOwn(aNow);
-  const bool silent = Stalled(aNow) && !Queues(aNow);
-  mAwaiting -= aStreaming ? 0 : 1;
+  UpdateSmoothedOwnCalls(aNow);
+  const bool noProgress = Stalled(aNow) && !HasWaitingCalls(aNow);
+  mAwaitingFirstToken -= aStreaming ? 0 : 1;
   --(aClass == CallClass::Interactive ? mInteractive : mTraining);
   if (!aSameGeneration) {
     return;
@@ -152,8 +155,9 @@
       mBreaker.Refused(aTicket, aNow);
       return;
     case CallOutcome::TimedOut:
-      if (!aStreaming && Queues(aNow)) {
-        // It waited in the engine's own queue: the engine is busy, not dead.
+      if (!aStreaming && HasWaitingCalls(aNow)) {
+        // The call waited in the engine's own queue: the engine is busy, not
+        // dead.
         mLimiter.Refused();
         mBreaker.Cancelled(aTicket, aNow);
         return;
@@ -164,8 +168,8 @@
       mBreaker.Failed(aTicket, aNow);
       return;
     case CallOutcome::Cancelled:
-      if (silent) {
-        // Given up because nothing came.
+      if (noProgress) {
+        // The owner cancelled the call because the engine delivered nothing.
         mBreaker.Failed(aTicket, aNow);
         return;
       }
@@ -175,55 +179,56 @@
 }
 
 bool EngineState::Usable(Millis aNow) const {
-  const bool staying = mListed && !mLeaving && aNow >= mLeavingUntil;
-  return staying && mBreaker.Allows(aNow) && !Stalled(aNow);
+  const bool inService = mListed && !mLeaving && aNow >= mLeavingUntil;
+  return inService && mBreaker.Allows(aNow) && !Stalled(aNow);
 }
 
-bool EngineState::Queues(Millis aNow) const {
+bool EngineState::HasWaitingCalls(Millis aNow) const {
   return mHasReport && mReport.mWaiting > 0 &&
-         aNow - mReport.mAt < kReportAnswers;
+         aNow - mReport.mAt < kFreshReportAge;
 }
 
 bool EngineState::Stalled(Millis aNow) const {
-  return Own() > 0 && aNow - mQuietSince > kStalledAfter;
+  return OwnCalls() > 0 && aNow - mLastActivity > kStalledAfter;
 }
 
-void EngineState::WeighAgainst(double aMedian, Millis aNow) {
-  const bool judged = mTuning->mWeighSpeed && mSpeed.Known(aNow);
-  mWeight = judged ? SpeedWeight(mSpeed.PerSecond(), aMedian) : 1.0;
+void EngineState::UpdateSpeedWeight(double aMedian, Millis aNow) {
+  const bool hasSamples = mTuning->mWeightBySpeed && mSpeed.Known(aNow);
+  mWeight = hasSamples ? SpeedWeight(mSpeed.PerSecond(), aMedian) : 1.0;
 }
 
-int64_t EngineState::Own(CallClass aClass) const {
+int64_t EngineState::OwnCalls(CallClass aClass) const {
   return aClass == CallClass::Interactive ? mInteractive : mTraining;
 }
 
-double EngineState::Others(double aPrior, Millis aNow) const {
+double EngineState::OtherLoad(double aPrior, Millis aNow) const {
   if (!mHasReport) {
     return aPrior;
   }
-  const double own = mTuning->mOwnCountedOnce ? mOwnAtReport : 0;
+  const double own = mTuning->mSubtractOwnCalls ? mOwnCallsAtReport : 0;
   const auto reported =
       static_cast<double>(mReport.mRunning + mReport.mWaiting);
   const double others = std::max(reported - own, 0.0);
   const double age = static_cast<double>((aNow - mReport.mAt).Count());
-  const double memory = static_cast<double>(mTuning->mReportMemory.Count());
-  const double weight = std::exp(-std::max(age, 0.0) / memory);
-  const double prior = mTuning->mDecayToPeers ? aPrior : 0;
+  const double decayMs = static_cast<double>(mTuning->mReportDecayTime.Count());
+  const double weight = std::exp(-std::max(age, 0.0) / decayMs);
+  const double prior = mTuning->mDecayToPeerMean ? aPrior : 0;
   return others * weight + prior * (1 - weight);
 }
 
 double EngineState::Load(double aPrior, Millis aNow) const {
-  return static_cast<double>(Own()) + Others(aPrior, aNow);
+  return static_cast<double>(OwnCalls()) + OtherLoad(aPrior, aNow);
 }
 
 double EngineState::Limit(CallClass aClass, Millis aNow) const {
-  const double share = mBreaker.Share(aNow) * mWeight;
+  const double share = mBreaker.SlowStartShare(aNow) * mWeight;
   const double limit = std::max(mLimiter.Limit() * share, 1.0);
   if (aClass == CallClass::Interactive) {
     return limit;
   }
-  // Of few slots the headroom is less than one: some engines keep one free.
-  const double open = std::floor(limit * (1 - mHeadroom) + mRounding);
+  // With few slots the headroom is less than one slot. The rounding by the ID
+  // makes some engines keep a slot free and others none.
+  const double open = std::floor(limit * (1 - mHeadroom) + mHeadroomRounding);
   return std::clamp(open, 1.0, limit);
 }
 
@@ -238,28 +243,29 @@
 
 double EngineState::FreeSlots(CallClass aClass, double aPrior,
                               Millis aNow) const {
-  const double room = Limit(aClass, aNow) - Load(aPrior, aNow);
+  const double freeSlots = Limit(aClass, aNow) - Load(aPrior, aNow);
   if (!mTuning->mShareSlots) {
-    return room;
+    return freeSlots;
   }
   const int64_t share = aClass == CallClass::Interactive
-                            ? mInteractiveShare.Allowed() - Own()
+                            ? mInteractiveShare.Allowed() - OwnCalls()
                             : mTrainingShare.Allowed() - mTraining;
-  return std::min(room, static_cast<double>(share));
+  return std::min(freeSlots, static_cast<double>(share));
 }
 
-int64_t EngineState::Room(CallClass aClass, double aPrior, Millis aNow) const {
+int64_t EngineState::FreeSlotCount(CallClass aClass, double aPrior,
+                                   Millis aNow) const {
   if (!Usable(aNow)) {
     return 0;
   }
   if (mBreaker.State() != BreakerState::Closed) {
     return 1;
   }
-  const double room = std::floor(FreeSlots(aClass, aPrior, aNow));
-  return std::max<int64_t>(static_cast<int64_t>(room), 0);
+  const double freeSlots = std::floor(FreeSlots(aClass, aPrior, aNow));
+  return std::max<int64_t>(static_cast<int64_t>(freeSlots), 0);
 }
 
-bool EngineState::FreesRoom(double aPrior, Millis aNow) const {
+bool EngineState::WouldFreeSlot(double aPrior, Millis aNow) const {
   return Usable(aNow) && FreeSlots(CallClass::Interactive, aPrior, aNow) > -1;
 }
 
--- a/src/librillwall_coordination/engine_state.h
+++ b/src/librillwall_coordination/engine_state.h
@@ -1,11 +1,12 @@
 /// \file
-/// What one node knows of one engine: its entry in the host list, its last
-/// report, the node's own calls there, its breaker, and the room that follows.
+/// What one node knows of one engine: its entry in the host list, its last load
+/// report, the node's own calls there, its circuit breaker, and the number of
+/// free slots that results.
 ///
-/// The load is the node's own calls in flight, known exactly, plus that of
-/// others, which is the last report less the own calls it already counts. A
-/// report loses weight with age in favour of the mean of the engine's peers.
-/// Sans-IO and single-threaded.
+/// The load is the sum of the node's own calls in flight, which are known
+/// exactly, and the load of other nodes, which is the last report without the
+/// own calls that it already counts. As a report ages, its weight decays in
+/// favour of the mean of the engine's peers. Sans-IO and single-threaded.
 
 #pragma once
 
@@ -22,6 +23,7 @@
 
 namespace rillwall {
 
+/// State of one engine as seen by one node.
 class EngineState {
  public:
   /// \param aTuning must outlive the state
@@ -29,76 +31,90 @@
               const DispatchTuning& aTuning);
 
   const Upstream& Info() const { return mUpstream; }
-  const LoadReport& Reported() const { return mReport; }
+  const LoadReport& LastReport() const { return mReport; }
   bool HasReport() const { return mHasReport; }
 
-  /// Takes the engine's entry in the host list. A new generation is a new
-  /// process: what was known of the old one is dropped.
+  /// Updates the engine's entry in the host list. A new generation means a new
+  /// process, so everything known about the old one is dropped.
   void Update(Upstream aUpstream);
-  /// The engine is no longer in the list; calls in flight go on.
+  /// Marks the engine as no longer in the host list. Calls in flight go on.
   void Unlist() { mListed = false; }
   void MarkLeaving() { mLeaving = true; }
-  /// The id was said to be leaving before the engine was known, so perhaps an
-  /// earlier process was meant.
+  /// Marks the engine as leaving until a time. Used when the ID was reported as
+  /// leaving before the engine was known: the report may be about an earlier
+  /// process.
   void MarkLeavingUntil(Millis aUntil) { mLeavingUntil = aUntil; }
   bool Leaving() const { return mLeaving; }
   bool Listed() const { return mListed; }
-  /// \param aRandom in [0, 1), to round shares by
+  /// Records a load report.
+  /// \param aRandom in [0, 1), rounds the slot shares
   void Report(const LoadReport& aReport, double aRandom);
-  /// \param aShare share of slots kept for interactive calls
+  /// \param aShare share of the slots that is kept for interactive calls
   void SetHeadroom(double aShare) { mHeadroom = aShare; }
 
+  /// Records the start of an own call.
   void Started(CallClass aClass, uint64_t aTicket, Millis aNow);
-  /// A call's first token came.
-  /// \param aTime since its start
+  /// Records the first token of an own call.
+  /// \param aTime since the call's start
   void FirstToken(CallClass aClass, uint64_t aTicket, Millis aTime,
                   Millis aNow);
-  /// \return whether a call's first token is later than is usual here
+  /// \return whether the first token of a call that started at aStarted takes
+  /// unusually long for this engine
   bool Overdue(CallClass aClass, Millis aStarted, Millis aNow) const;
-  /// Own calls are overdue: the engine holds fewer than was thought.
+  /// Lowers the limit because the first tokens of own calls are overdue, so the
+  /// engine runs fewer streams than assumed.
+  /// \param aOverdue number of own calls that are overdue
   void LowerLimit(int64_t aOverdue, double aPrior, Millis aNow);
-  /// Tokens came for a call.
-  /// \param aSpan since the call's tokens before
+  /// Records tokens of an own call.
+  /// \param aSpan since the call's previous tokens
   void Progress(uint64_t aTicket, int64_t aTokens, Millis aSpan, Millis aNow);
-  /// \param aStreaming whether its first token had come
+  /// Records the end of an own call.
+  /// \param aStreaming whether its first token had arrived
+  /// \param aSameGeneration whether the engine's process is still the one that
+  /// the call was started at
   void Ended(CallClass aClass, uint64_t aTicket, CallOutcome aOutcome,
              bool aStreaming, bool aSameGeneration, Millis aNow);
 
-  /// \return whether new calls may go there now
+  /// \return whether the engine may receive new calls now
   bool Usable(Millis aNow) const;
-  int64_t Own() const { return mInteractive + mTraining; }
-  int64_t Own(CallClass aClass) const;
-  /// \return own calls whose first token has not come
-  int64_t Awaiting() const { return mAwaiting; }
-  /// \return streams at the engine now, estimated
-  /// \param aPrior load of others to expect of an engine without a report
+  /// \return own calls in flight
+  int64_t OwnCalls() const { return mInteractive + mTraining; }
+  int64_t OwnCalls(CallClass aClass) const;
+  /// \return own calls whose first token has not arrived
+  int64_t AwaitingFirstToken() const { return mAwaitingFirstToken; }
+  /// \param aPrior expected load of other nodes at an engine without a report
+  /// \return estimated streams at the engine now
   double Load(double aPrior, Millis aNow) const;
-  /// \return load of other nodes, estimated
-  double Others(double aPrior, Millis aNow) const;
-  /// \return streams that it should hold at most
+  /// \return estimated load of other nodes
+  double OtherLoad(double aPrior, Millis aNow) const;
+  /// \return the number of streams at the engine below which calls of this
+  /// class may start
   double Limit(CallClass aClass, Millis aNow) const;
   /// \return calls of this class that could start now
-  int64_t Room(CallClass aClass, double aPrior, Millis aNow) const;
-  /// \return whether ending one own call lets an interactive one start there
-  bool FreesRoom(double aPrior, Millis aNow) const;
+  int64_t FreeSlotCount(CallClass aClass, double aPrior, Millis aNow) const;
+  /// \return whether the end of one own call lets an interactive one start
+  bool WouldFreeSlot(double aPrior, Millis aNow) const;
   const Breaker& Circuit() const { return mBreaker; }
-  /// \return whether a young report shows calls waiting at the engine
-  bool Queues(Millis aNow) const;
-  /// \return whether own calls are in flight and no token has come for long
+  /// \return whether a fresh report shows calls waiting in the engine's queue
+  bool HasWaitingCalls(Millis aNow) const;
+  /// \return whether own calls are in flight but no token has arrived for long
   bool Stalled(Millis aNow) const;
   const StreamSpeed& Speed() const { return mSpeed; }
+  /// \return factor of the limit by speed, in (0, 1]
   double Weight() const { return mWeight; }
+  /// Updates the weight by comparing the engine's speed with its peers.
   /// \param aMedian tokens per second and stream of the peers; 0: unknown
-  void WeighAgainst(double aMedian, Millis aNow);
+  void UpdateSpeedWeight(double aMedian, Millis aNow);
 
-  /// The engine's place in its pool.
+  /// Index of the engine in its pool.
   uint32_t Index() const { return mIndex; }
   void SetIndex(uint32_t aIndex) { mIndex = aIndex; }
 
  private:
-  void SmoothOwn(Millis aNow);
+  void UpdateSmoothedOwnCalls(Millis aNow);
+  /// \return free slots for the class; negative if overloaded
   double FreeSlots(CallClass aClass, double aPrior, Millis aNow) const;
-  void ShareSlots(double aRandom);
+  void UpdateSlotShares(double aRandom);
 
   Upstream mUpstream;
   BreakerLimits mLimits;
@@ -106,23 +122,23 @@
   Breaker mBreaker;
   Limiter mLimiter;
   StreamSpeed mSpeed;
-  double mWeight = 1;  ///< by speed
-  Millis mQuietSince;  ///< last token, or start of the first call in flight
+  double mWeight = 1;    ///< factor of the limit by speed
+  Millis mLastActivity;  ///< last token, or start of the first call in flight
   LoadReport mReport;
   bool mHasReport = false;
   bool mLeaving = false;
   Millis mLeavingUntil;
   bool mListed = true;
-  double mOwnAtReport = 0;
-  double mOwnSmooth = 0;  ///< own calls of a moment ago
-  Millis mOwnSmoothAt;
+  double mOwnCallsAtReport = 0;  ///< own calls that the report counts
+  double mSmoothedOwnCalls = 0;  ///< exponential moving average of own calls
+  Millis mSmoothedAt;
   SlotShare mInteractiveShare;
   SlotShare mTrainingShare;
   int64_t mInteractive = 0;
   int64_t mTraining = 0;
-  int64_t mAwaiting = 0;
-  double mHeadroom = 0;
-  double mRounding = 0;  ///< in [0, 1), of the headroom; by the id
+  int64_t mAwaitingFirstToken = 0;
+  double mHeadroom = 0;          ///< share of slots kept for interactive calls
+  double mHeadroomRounding = 0;  ///< in [0, 1), by the ID
   uint32_t mIndex = 0;
 };
 
--- a/src/librillwall_coordination/fact_table.cpp
+++ b/src/librillwall_coordination/fact_table.cpp
@@ -23,17 +23,17 @@
 
 }  // namespace
 
-FactVerdict FactTable::Take(const Fact& aFact) {
+FactMergeResult FactTable::Merge(const Fact& aFact) {
   const auto [place, isNew] = mFacts.try_emplace(aFact.mKey, aFact);
   if (isNew) {
-    return FactVerdict::Newer;
+    return FactMergeResult::Newer;
   }
   Fact& known = place->second;
   if (Greater(aFact, known)) {
     known = aFact;
-    return FactVerdict::Newer;
+    return FactMergeResult::Newer;
   }
-  return known == aFact ? FactVerdict::Same : FactVerdict::Older;
+  return known == aFact ? FactMergeResult::Same : FactMergeResult::Older;
 }
 
 const Fact* FactTable::Find(std::string_view aKey) const {
@@ -41,7 +41,7 @@
   return place == mFacts.end() ? nullptr : &place->second;
 }
 
-std::vector<Fact> FactTable::Under(std::string_view aPrefix) const {
+std::vector<Fact> FactTable::WithPrefix(std::string_view aPrefix) const {
   std::vector<Fact> facts;
   for (auto place = mFacts.lower_bound(aPrefix);
        place != mFacts.end() && place->first.starts_with(aPrefix); ++place) {
--- a/src/librillwall_coordination/fact_table.h
+++ b/src/librillwall_coordination/fact_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// Facts shared by all nodes: a set of max-registers.
+/// Facts shared by all nodes: a set of max-registers that are merged by gossip.
 
 #pragma once
 
@@ -12,24 +12,24 @@
 
 namespace rillwall {
 
-/// What became of a fact offered to a table.
-enum class FactVerdict {
-  Same,   ///< known already
-  Older,  ///< a greater one is known
-  Newer,  ///< taken in
+/// Result of merging a fact into a table.
+enum class FactMergeResult {
+  Same,   ///< already known
+  Older,  ///< a greater one is known; not stored
+  Newer,  ///< stored
 };
 
-/// Registers by key in which the greatest (revision, value) wins. Taking facts
-/// in is commutative, associative and idempotent, so that tables which have
-/// seen the same facts are equal, whatever the order.
+/// Registers by key in which the greatest (revision, value) wins. Merging is
+/// commutative, associative and idempotent, so tables that have merged the same
+/// facts are equal, whatever the order.
 class FactTable {
  public:
-  /// Takes a fact in if it is greater than the one known.
-  FactVerdict Take(const Fact& aFact);
-  /// \return the fact of this key, or nullptr
+  /// Stores a fact if it is greater than the known one.
+  FactMergeResult Merge(const Fact& aFact);
+  /// \return the fact with this key, or nullptr
   const Fact* Find(std::string_view aKey) const;
   /// \return facts whose key starts with aPrefix, ordered by key
-  std::vector<Fact> Under(std::string_view aPrefix) const;
+  std::vector<Fact> WithPrefix(std::string_view aPrefix) const;
   /// \return a digest that is equal for equal tables
   uint64_t Digest() const;
 
--- a/src/librillwall_coordination/fair_queue.cpp
+++ b/src/librillwall_coordination/fair_queue.cpp
@@ -5,17 +5,17 @@
 namespace rillwall {
 
 namespace {
-constexpr size_t kManyTenants = 1024;
+constexpr size_t kTenantReuseThreshold = 1024;
 }  // namespace
 
-FairQueue::Tenant FairQueue::Find(std::string_view aName) {
+FairQueue::Tenant FairQueue::FindOrAdd(std::string_view aName) {
   const auto found = mByName.find(aName);
   if (found != mByName.end()) {
     return found->second;
   }
-  State state{.mName = std::string(aName), .mTime = mVirtual};
+  TenantState state{.mName = std::string(aName), .mTime = mVirtualTime};
   Tenant tenant = static_cast<Tenant>(mTenants.size());
-  if (const auto idle = Idle()) {
+  if (const auto idle = FindReusable()) {
     tenant = *idle;
     mByName.erase(mTenants[tenant].mName);
     mTenants[tenant] = std::move(state);
@@ -26,15 +26,16 @@
   return tenant;
 }
 
-std::optional<FairQueue::Tenant> FairQueue::Idle() const {
-  if (mTenants.size() < kManyTenants) {
+std::optional<FairQueue::Tenant> FairQueue::FindReusable() const {
+  if (mTenants.size() < kTenantReuseThreshold) {
     return std::nullopt;
   }
   for (Tenant tenant = 0; tenant < mTenants.size(); ++tenant) {
-    const State& state = mTenants[tenant];
-    // One that is ahead of its time would be let off by a new start.
+    const TenantState& state = mTenants[tenant];
+    // A tenant ahead of the virtual time stays: replacing it would forgive the
+    // tokens that it was served in advance.
     const bool idle = state.mQueue.empty() && state.mRunning == 0 &&
-                      state.mTime <= mVirtual && state.mShare == 1;
+                      state.mTime <= mVirtualTime && state.mShare == 1;
     if (idle) {
       return tenant;
     }
@@ -43,7 +44,7 @@
 }
 
 void FairQueue::ResetShares() {
-  for (State& state : mTenants) {
+  for (TenantState& state : mTenants) {
     state.mShare = 1;
   }
 }
@@ -53,9 +54,9 @@
 }
 
 FairQueue::Position FairQueue::Push(Tenant aTenant, uint64_t aTicket) {
-  State& state = mTenants[aTenant];
+  TenantState& state = mTenants[aTenant];
   if (state.mQueue.empty()) {
-    state.mTime = std::max(state.mTime, mVirtual);
+    state.mTime = std::max(state.mTime, mVirtualTime);
     mBacklogged.emplace(state.mTime, aTenant);
   }
   ++mSize;
@@ -63,7 +64,7 @@
 }
 
 void FairQueue::Remove(Tenant aTenant, Position aPosition) {
-  State& state = mTenants[aTenant];
+  TenantState& state = mTenants[aTenant];
   state.mQueue.erase(aPosition);
   --mSize;
   if (state.mQueue.empty()) {
@@ -71,8 +72,8 @@
   }
 }
 
-double FairQueue::Ahead(Tenant aTenant) const {
-  const State& state = mTenants[aTenant];
+double FairQueue::CallsAhead(Tenant aTenant) const {
+  const TenantState& state = mTenants[aTenant];
   double shares = state.mQueue.empty() ? state.mShare : 0;
   for (const auto& [time, tenant] : mBacklogged) {
     shares += mTenants[tenant].mShare;
@@ -82,11 +83,11 @@
                   static_cast<double>(mSize));
 }
 
-std::optional<uint64_t> FairQueue::Newest() const {
-  const State* most = nullptr;
+std::optional<uint64_t> FairQueue::ShedCandidate() const {
+  const TenantState* most = nullptr;
   for (const auto& [time, tenant] : mBacklogged) {
-    const State& state = mTenants[tenant];
-    const auto length = [](const State& aState) {
+    const TenantState& state = mTenants[tenant];
+    const auto length = [](const TenantState& aState) {
       return static_cast<double>(aState.mQueue.size()) / aState.mShare;
     };
     if (!most || length(state) > length(*most)) {
@@ -100,22 +101,22 @@
 }
 
 void FairQueue::Started(Tenant aTenant, int64_t aTokens) {
-  State& state = mTenants[aTenant];
+  TenantState& state = mTenants[aTenant];
   if (state.mQueue.empty()) {
-    state.mTime = std::max(state.mTime, mVirtual);
+    state.mTime = std::max(state.mTime, mVirtualTime);
   }
-  mVirtual = std::max(mVirtual, state.mTime);
+  mVirtualTime = std::max(mVirtualTime, state.mTime);
   ++state.mRunning;
-  Move(aTenant, aTokens);
+  Charge(aTenant, aTokens);
 }
 
 void FairQueue::Ended(Tenant aTenant, int64_t aTokens) {
   --mTenants[aTenant].mRunning;
-  Move(aTenant, aTokens);
+  Charge(aTenant, aTokens);
 }
 
-void FairQueue::Move(Tenant aTenant, int64_t aTokens) {
-  State& state = mTenants[aTenant];
+void FairQueue::Charge(Tenant aTenant, int64_t aTokens) {
+  TenantState& state = mTenants[aTenant];
   const bool backlogged = !state.mQueue.empty();
   if (backlogged) {
     mBacklogged.erase({state.mTime, aTenant});
--- a/src/librillwall_coordination/fair_queue.h
+++ b/src/librillwall_coordination/fair_queue.h
@@ -1,12 +1,12 @@
 /// \file
 /// Weighted fair queueing between tenants by served tokens.
 ///
-/// Start-time fair queueing: every tenant has a virtual time, which its served
-/// tokens move on at a rate inverse to its share; the tenant furthest behind
-/// goes first. A tenant that comes back from idleness starts at the virtual
-/// time of the last call started, so that it is served next but has saved up
-/// nothing. Within a tenant the order is that of arrival.
-/// Sans-IO and single-threaded.
+/// Start-time fair queueing: every tenant has a virtual time that its served
+/// tokens advance at a rate inverse to its share, and the tenant with the
+/// lowest virtual time is served first. A tenant that was idle restarts at the
+/// virtual time of the last call started, so it is served next but gets no
+/// credit for its idle time. Calls of one tenant are served in the order of
+/// arrival. Sans-IO and single-threaded.
 
 #pragma once
 
@@ -23,14 +23,15 @@
 
 namespace rillwall {
 
+/// Queue of tickets with weighted fair order between tenants.
 class FairQueue {
  public:
   using Tenant = uint32_t;
   using Position = std::list<uint64_t>::iterator;
 
-  /// \return the tenant of this name, made on first use with share 1. Of very
-  /// many tenants one that has no calls gives up its place.
-  Tenant Find(std::string_view aName);
+  /// \return the tenant with this name, added with share 1 on first use. If
+  /// there are very many tenants, one without calls is replaced.
+  Tenant FindOrAdd(std::string_view aName);
   void SetShare(Tenant aTenant, int64_t aShare);
   /// Sets all shares to 1.
   void ResetShares();
@@ -41,19 +42,20 @@
 
   size_t Size() const { return mSize; }
   size_t Size(Tenant aTenant) const { return mTenants[aTenant].mQueue.size(); }
-  /// \return how many calls go before a new one of this tenant, estimated
-  double Ahead(Tenant aTenant) const;
-  /// \return the newest ticket of the tenant that has most queued for its
-  /// share, the one to shed first; nothing if empty
-  std::optional<uint64_t> Newest() const;
+  /// \return estimated number of calls that start before a new one of the
+  /// tenant
+  double CallsAhead(Tenant aTenant) const;
+  /// \return the ticket to shed first, or nothing if the queue is empty: the
+  /// newest one of the tenant with the longest queue relative to its share
+  std::optional<uint64_t> ShedCandidate() const;
 
   /// Offers the tenants' first tickets in fair order until one is taken.
-  /// \param aTake bool(uint64_t ticket): whether it was started
-  /// \return the ticket taken, by now removed
+  /// \param aTake bool(uint64_t ticket): whether the call was started
+  /// \return the ticket taken, which has been removed
   template <class Take>
   std::optional<uint64_t> TakeFirst(Take&& aTake) {
     for (const auto& entry : mBacklogged) {
-      // A copy: taking a ticket moves its tenant within the order.
+      // A copy, because taking a ticket changes the position of its tenant.
       const Tenant tenant = entry.second;
       const uint64_t ticket = mTenants[tenant].mQueue.front();
       if (aTake(ticket)) {
@@ -65,7 +67,7 @@
   }
 
   /// Visits tickets tenant by tenant in fair order, oldest first.
-  /// \param aVisit bool(uint64_t ticket): whether to go on with this tenant
+  /// \param aVisit bool(uint64_t ticket): whether to continue with this tenant
   template <class Visit>
   void ForEach(Visit&& aVisit) const {
     for (const auto& [time, tenant] : mBacklogged) {
@@ -77,11 +79,11 @@
     }
   }
 
-  /// A tenant's call was started, from the queue or past it.
-  /// \param aTokens what it is expected to take
+  /// Charges a tenant for a call that started, from the queue or directly.
+  /// \param aTokens expected tokens
   void Started(Tenant aTenant, int64_t aTokens);
-  /// A started call ended.
-  /// \param aTokens what it took more than expected; negative: less
+  /// Corrects the charge for a started call that ended.
+  /// \param aTokens actual minus expected tokens
   void Ended(Tenant aTenant, int64_t aTokens);
 
   /// \return tokens served to a tenant
@@ -92,23 +94,25 @@
   }
 
  private:
-  struct State {
+  struct TenantState {
     std::string mName;
     double mShare = 1;
-    double mTime = 0;
+    double mTime = 0;  ///< virtual time
     int64_t mServed = 0;
     int64_t mRunning = 0;
     std::list<uint64_t> mQueue;
   };
   using Order = std::set<std::pair<double, Tenant>>;
 
-  void Move(Tenant aTenant, int64_t aTokens);
-  std::optional<Tenant> Idle() const;
+  /// Advances the virtual time of a tenant.
+  void Charge(Tenant aTenant, int64_t aTokens);
+  /// \return a tenant without calls that may be replaced, if there are many
+  std::optional<Tenant> FindReusable() const;
 
-  std::vector<State> mTenants;
+  std::vector<TenantState> mTenants;
   std::map<std::string, Tenant, std::less<>> mByName;
-  Order mBacklogged;
-  double mVirtual = 0;
+  Order mBacklogged;        ///< tenants with queued calls, by virtual time
+  double mVirtualTime = 0;  ///< of the last call started
   size_t mSize = 0;
 };
 
--- a/src/librillwall_coordination/fair_queue_test.cpp
+++ b/src/librillwall_coordination/fair_queue_test.cpp
@@ -27,7 +27,7 @@
     mQueue = FairQueue();
     for (size_t index = 0; index < kTenants; ++index) {
       mTenant[index] =
-          mQueue.Find(std::string(1, static_cast<char>('a' + index)));
+          mQueue.FindOrAdd(std::string(1, static_cast<char>('a' + index)));
       mQueue.SetShare(mTenant[index], kShares[index]);
       mServed[index] = 0;
     }
@@ -115,12 +115,12 @@
 
   void ForgetsIdleTenants() {
     for (int name = 0; name < 100000; ++name) {
-      const FairQueue::Tenant tenant = mQueue.Find(std::to_string(name));
+      const FairQueue::Tenant tenant = mQueue.FindOrAdd(std::to_string(name));
       mQueue.Started(tenant, 10);
       mQueue.Ended(tenant, -10);
     }
     CPPUNIT_ASSERT(mQueue.Tenants() < 2000);
-    CPPUNIT_ASSERT_EQUAL(mTenant[1], mQueue.Find("b"));
+    CPPUNIT_ASSERT_EQUAL(mTenant[1], mQueue.FindOrAdd("b"));
   }
 
   void ModestTenantGoesNext() {
@@ -131,12 +131,12 @@
       mQueue.TakeFirst([](uint64_t) { return true; });
       mQueue.Started(mTenant[0], 100);
     }
-    CPPUNIT_ASSERT(mQueue.Ahead(mTenant[1]) <= 1.0);
-    CPPUNIT_ASSERT(mQueue.Ahead(mTenant[0]) > 900);
+    CPPUNIT_ASSERT(mQueue.CallsAhead(mTenant[1]) <= 1.0);
+    CPPUNIT_ASSERT(mQueue.CallsAhead(mTenant[0]) > 900);
     mQueue.Push(mTenant[1], 5000);
     const auto taken = mQueue.TakeFirst([](uint64_t) { return true; });
     CPPUNIT_ASSERT_EQUAL(uint64_t{5000}, *taken);
-    CPPUNIT_ASSERT_EQUAL(uint64_t{999}, *mQueue.Newest());
+    CPPUNIT_ASSERT_EQUAL(uint64_t{999}, *mQueue.ShedCandidate());
   }
 
   void EstimatesTheWait() {
--- a/src/librillwall_coordination/membership.cpp
+++ b/src/librillwall_coordination/membership.cpp
@@ -6,28 +6,30 @@
 
 namespace {
 
-// A longer gap between ticks means that this node itself was stopped.
+// A longer gap between ticks means that this node itself was stalled.
 constexpr Millis kStallGap{1000};
-// After a long stall: the time in which the datagrams that waited are read.
-constexpr Millis kBacklogSpan{200};
-// How often a remembered dead member is probed, to heal a partition.
-constexpr Millis kRevivePeriod{5000};
-// How often a seed is tried by a node that knows live peers.
+// Time after a long stall in which datagrams received during the stall are
+// read.
+constexpr Millis kBacklogDrainTime{200};
+// Interval at which a dead member is probed, to heal a partition.
+constexpr Millis kDeadProbePeriod{5000};
+// Interval of seed pings while this node knows other members.
 constexpr Millis kSeedPeriod{15000};
-// A newcomer does not pass on what a full exchange tells it: all know it.
-constexpr Millis kNewcomerSpan{10000};
-// Marks an Ack that answers nothing and only carries news.
+// A node that started less than this ago does not gossip what it learns by a
+// full exchange, because the other nodes know it already.
+constexpr Millis kNewcomerPeriod{10000};
+// Sequence of an Ack that answers no ping and only carries updates.
 constexpr uint64_t kNoSequence = 0;
-// Suspicions named in a ping. Whoever knows of a refutation answers with it, so
-// that a node that missed it hardly ever goes on to declare the member dead.
-constexpr size_t kDoubtsNamed = 3;
+// Suspicions included in a ping. A receiver that knows of a refutation answers
+// with it, so a node that missed it rarely declares the member dead.
+constexpr size_t kSuspicionsPerPing = 3;
 
-/// The suspicion's length grows with the fleet, as the spread of a refutation
-/// takes longer: log10, at least 1, as in tenths.
-int64_t FleetTenths(size_t aMembers) {
+/// \return max(1, log10(aMembers)) in tenths. The suspicion timeout grows by
+/// this factor, because a refutation takes longer to spread in a larger fleet.
+int64_t LogScaleTenths(size_t aMembers) {
   int64_t tenths = 10;
   for (size_t bound = 10; bound < aMembers; bound = bound * 5 / 4 + 1) {
-    ++tenths;  // 1.25 is nearly the tenth root of 10
+    ++tenths;  // 1.25 approximates the tenth root of 10
   }
   return tenths;
 }
@@ -46,54 +48,56 @@
   mComposer.Add(aSelf);
 }
 
-void Membership::Impl::Send(const GossipHead& aHead,
-                            const std::vector<NewsKey>& aFirst,
+void Membership::Impl::Send(const GossipHeader& aHead,
+                            const std::vector<UpdateKey>& aPriority,
                             GossipActions& aActions) {
-  aActions.mDatagrams.push_back(mComposer.Compose(aHead, aFirst));
+  aActions.mDatagrams.push_back(mComposer.Compose(aHead, aPriority));
 }
 
 void Membership::Impl::Send(const ProbeStep& aStep, GossipActions& aActions) {
-  for (const GossipHead& head : aStep.mDatagrams) {
+  for (const GossipHeader& head : aStep.mDatagrams) {
     const bool isPing = head.mKind == GossipKind::Ping;
-    const auto first = isPing ? PingNews(head.mTarget) : std::vector<NewsKey>();
+    const auto first =
+        isPing ? PingUpdates(head.mTarget) : std::vector<UpdateKey>();
     Send(head, first, aActions);
   }
 }
 
-std::vector<NewsKey> Membership::Impl::PingNews(const std::string& aTarget) {
-  std::vector<NewsKey> news;
-  // Whoever does not know this node, or thinks it dead, learns of it.
-  news.push_back({NewsKey::Kind::Member, mTable.Self().mId});
+std::vector<UpdateKey> Membership::Impl::PingUpdates(
+    const std::string& aTarget) {
+  std::vector<UpdateKey> news;
+  // For receivers that do not know this node or believe it dead.
+  news.push_back({UpdateKey::Kind::Member, mTable.Self().mId});
   const MemberEntry* target = mTable.Find(aTarget);
   if (target != nullptr && target->mMember.mState != MemberState::Alive) {
-    // The target can refute it at once.
-    news.push_back({NewsKey::Kind::Member, aTarget});
+    // Lets the target refute it at once.
+    news.push_back({UpdateKey::Kind::Member, aTarget});
   }
-  for (const Member& doubted :
-       mTable.Sample(kDoubtsNamed, mRandom, &MemberEntry::IsTimed)) {
-    news.push_back({NewsKey::Kind::Member, doubted.mId});
+  for (const Member& suspect :
+       mTable.Sample(kSuspicionsPerPing, mRandom, &MemberEntry::HasTimer)) {
+    news.push_back({UpdateKey::Kind::Member, suspect.mId});
   }
   return news;
 }
 
-void Membership::Impl::Spread(Millis aNow, GossipActions& aActions) {
-  if (aNow < mNextSpread || !mComposer.HasNews()) {
+void Membership::Impl::GossipUpdates(Millis aNow, GossipActions& aActions) {
+  if (aNow < mNextGossip || !mComposer.HasUpdates()) {
     return;
   }
-  mNextSpread = aNow + mLimits.mSpreadPeriod;
+  mNextGossip = aNow + mLimits.mGossipPeriod;
   for (const Member& peer :
-       mTable.Sample(mLimits.mSpreadFanout, mRandom, &MemberEntry::IsPresent)) {
+       mTable.Sample(mLimits.mGossipFanout, mRandom, &MemberEntry::IsPresent)) {
     Send({GossipKind::Ack, peer.mGossip, mTable.Self().mId, kNoSequence}, {},
          aActions);
   }
 }
 
-void Membership::Impl::TrySeeds(Millis aNow, GossipActions& aActions) {
-  if (aNow < mNextSeed || mSeeds.empty()) {
+void Membership::Impl::PingSeed(Millis aNow, GossipActions& aActions) {
+  if (aNow < mNextSeedPing || mSeeds.empty()) {
     return;
   }
   const bool isAlone = mTable.CountPresent() == 1;
-  mNextSeed = aNow + (isAlone ? mLimits.mProbePeriod : kSeedPeriod);
+  mNextSeedPing = aNow + (isAlone ? mLimits.mProbePeriod : kSeedPeriod);
   const std::string& seed = mSeeds[mRandom() % mSeeds.size()];
   if (mTable.HasPresentAt(seed)) {
     return;
@@ -105,10 +109,10 @@
 }
 
 void Membership::Impl::ProbeDead(Millis aNow, GossipActions& aActions) {
-  if (aNow < mNextRevive || mTable.CountDead() == 0) {
+  if (aNow < mNextDeadProbe || mTable.CountDead() == 0) {
     return;
   }
-  mNextRevive = aNow + kRevivePeriod;
+  mNextDeadProbe = aNow + kDeadProbePeriod;
   ProbeStep step;
   for (const Member& dead : mTable.Sample(1, mRandom, &MemberEntry::IsDead)) {
     step.mDatagrams.push_back(
@@ -125,31 +129,31 @@
   if (gap <= kStallGap) {
     return;
   }
-  // What did not answer meanwhile may have: this node could not hear it.
+  // Members may have answered meanwhile without this node receiving it.
   mLastTick = aNow;
   mProber.Discard(aNow);
   mProber.Health().Worsen(1);
   mTable.RestartTimers(aNow);
-  if (gap >= mLimits.mForgetDead / 2) {
+  if (gap >= mLimits.mDeadRetention / 2) {
     mTable.MarkUnconfirmed();
-    mDeafUntil = aNow + kBacklogSpan;
+    mIgnoreDatagramsUntil = aNow + kBacklogDrainTime;
   }
 }
 
 bool Membership::Impl::IsNewcomer(Millis aNow) const {
-  return !mFirstTick || aNow - *mFirstTick < kNewcomerSpan;
+  return !mFirstTick || aNow - *mFirstTick < kNewcomerPeriod;
 }
 
-Millis Membership::Impl::LeastSuspicion() const {
+Millis Membership::Impl::MinSuspicionTimeout() const {
   const Millis fleet =
-      mLimits.mSuspicion * FleetTenths(mTable.CountPresent()) / 10;
-  // A refutation waits its turn behind other news, here and elsewhere.
+      mLimits.mMinSuspicion * LogScaleTenths(mTable.CountPresent()) / 10;
+  // A refutation may be queued behind other updates, here and at other nodes.
   const auto datagrams = static_cast<int64_t>(mComposer.Backlog());
-  return fleet + mLimits.mSpreadPeriod * datagrams;
+  return fleet + mLimits.mGossipPeriod * datagrams;
 }
 
-Millis Membership::Impl::SuspicionSpan() const {
-  return LeastSuspicion() * mProber.Health().Factor();
+Millis Membership::Impl::SuspicionTimeout() const {
+  return MinSuspicionTimeout() * mProber.Health().Factor();
 }
 
 void Membership::Impl::Suspect(const std::string& aId, Millis aNow,
@@ -159,27 +163,28 @@
     return;
   }
   if (entry->mMember.mState == MemberState::Leaving) {
-    // It holds no duties: nothing is to be told before it is dead.
+    // It holds no duties, so nothing is announced before it is dead.
     mTable.StartTimer(aId, aNow);
   } else if (entry->mMember.mState == MemberState::Alive) {
-    Conclude(aId, MemberState::Suspect, aNow, aActions);
+    SetState(aId, MemberState::Suspect, aNow, aActions);
   }
 }
 
 void Membership::Impl::ExpireSuspicions(Millis aNow, GossipActions& aActions) {
-  for (const std::string& id : mTable.TimedSince(aNow - SuspicionSpan())) {
-    Conclude(id, MemberState::Dead, aNow, aActions);
+  for (const std::string& id :
+       mTable.TimersStartedBy(aNow - SuspicionTimeout())) {
+    SetState(id, MemberState::Dead, aNow, aActions);
   }
 }
 
-void Membership::Impl::Conclude(const std::string& aId, MemberState aState,
+void Membership::Impl::SetState(const std::string& aId, MemberState aState,
                                 Millis aNow, GossipActions& aActions) {
-  const Member& record = mTable.Conclude(aId, aState, aNow);
+  const Member& record = mTable.SetState(aId, aState, aNow);
   mComposer.Add(record);
   aActions.mChangedMembers.push_back(record);
 }
 
-// The interface.
+// Public interface.
 
 Membership::Membership(Member aSelf, std::vector<std::string> aSeeds,
                        GossipLimits aLimits, uint64_t aSeed)
@@ -202,10 +207,10 @@
   }
   impl.Send(step, actions);
   impl.ExpireSuspicions(aNow, actions);
-  impl.mTable.ForgetDead(aNow - impl.mLimits.mForgetDead);
-  impl.TrySeeds(aNow, actions);
+  impl.mTable.ForgetDead(aNow - impl.mLimits.mDeadRetention);
+  impl.PingSeed(aNow, actions);
   impl.ProbeDead(aNow, actions);
-  impl.Spread(aNow, actions);
+  impl.GossipUpdates(aNow, actions);
   return actions;
 }
 
@@ -220,10 +225,10 @@
   GossipActions actions;
   mImpl->CheckStall(aNow);
   for (const Member& record : aState.mMembers) {
-    mImpl->TakeMember(record, Impl::Source::Exchange, aNow, actions);
+    mImpl->MergeMember(record, Impl::Source::Exchange, aNow, actions);
   }
   for (const Fact& fact : aState.mFacts) {
-    mImpl->TakeFact(fact, !mImpl->IsNewcomer(aNow), actions);
+    mImpl->MergeFact(fact, !mImpl->IsNewcomer(aNow), actions);
   }
   mImpl->mCorrections.clear();
   return actions;
@@ -233,7 +238,7 @@
   GossipState state;
   state.mMembers = mImpl->mTable.Select(
       [](const MemberEntry& aEntry) { return !aEntry.mUnconfirmed; });
-  state.mFacts = mImpl->mFacts.Under("");
+  state.mFacts = mImpl->mFacts.WithPrefix("");
   return state;
 }
 
@@ -243,9 +248,9 @@
 
 GossipActions Membership::SetFact(Fact aFact, Millis aNow) {
   GossipActions actions;
-  mImpl->TakeFact(aFact, true, actions);
+  mImpl->MergeFact(aFact, true, actions);
   mImpl->mCorrections.clear();
-  mImpl->Spread(aNow, actions);
+  mImpl->GossipUpdates(aNow, actions);
   return actions;
 }
 
@@ -258,8 +263,8 @@
   mImpl->mTable.SetSelf(self.mIncarnation, MemberState::Leaving);
   mImpl->mComposer.Add(self);
   actions.mChangedMembers.push_back(self);
-  mImpl->mNextSpread = aNow;
-  mImpl->Spread(aNow, actions);
+  mImpl->mNextGossip = aNow;
+  mImpl->GossipUpdates(aNow, actions);
   return actions;
 }
 
@@ -280,7 +285,7 @@
 }
 
 std::vector<Fact> Membership::FactsWithPrefix(std::string_view aPrefix) const {
-  return mImpl->mFacts.Under(aPrefix);
+  return mImpl->mFacts.WithPrefix(aPrefix);
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/membership_composer.h
+++ b/src/librillwall_coordination/membership_composer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Fills datagrams with what is to be told.
+/// Composition of gossip datagrams from pending updates.
 
 #pragma once
 
@@ -13,41 +13,46 @@
 
 namespace rillwall {
 
-/// A datagram without its news.
-struct GossipHead {
+/// Datagram without its updates.
+struct GossipHeader {
   GossipKind mKind = GossipKind::Ping;
   std::string mTo;      ///< "ip:port"
-  std::string mTarget;  ///< id of the member probed; empty: whoever is there
+  std::string mTarget;  ///< ID of the member probed; empty: any
   uint64_t mSequence = 0;
 };
 
-/// Makes datagrams: first what the receiver in particular should know, then
-/// the news waiting, all within the limit of bytes.
+/// Composes datagrams: first the updates that the receiver in particular needs,
+/// then pending ones, up to the limit of bytes.
 class GossipComposer {
  public:
-  /// \param aTable and \param aFacts where contents are read; they outlive this
+  /// \param aTable members; must outlive this object
+  /// \param aFacts facts; must outlive this object
   GossipComposer(const MemberTable& aTable, const FactTable& aFacts,
                  const GossipLimits& aLimits)
-      : mTable(aTable), mFacts(aFacts), mMaxNewsBytes(aLimits.mMaxNewsBytes) {}
+      : mTable(aTable),
+        mFacts(aFacts),
+        mMaxUpdateBytes(aLimits.mMaxUpdateBytes) {}
 
-  /// Adds news to be passed on. A fact that no datagram can hold is left to
-  /// the full exchange.
+  /// Adds an update to send. A fact too large for a datagram is omitted; the
+  /// full exchange transfers it.
   void Add(const Member& aMember);
   void Add(const Fact& aFact);
-  /// \param aFirst what comes before the news waiting
-  GossipDatagram Compose(const GossipHead& aHead,
-                         const std::vector<NewsKey>& aFirst);
-  bool HasNews() const { return !mNews.IsEmpty(); }
-  /// \return datagrams that the news waiting would fill
-  size_t Backlog() const { return mNews.Bytes() / mMaxNewsBytes; }
+  /// \param aPriority updates that precede the pending ones
+  GossipDatagram Compose(const GossipHeader& aHead,
+                         const std::vector<UpdateKey>& aPriority);
+  bool HasUpdates() const { return !mUpdates.IsEmpty(); }
+  /// \return number of datagrams that the pending updates would fill
+  size_t Backlog() const { return mUpdates.Bytes() / mMaxUpdateBytes; }
 
  private:
-  void Put(const NewsKey& aKey, GossipMessage& aMessage, size_t& aRoom) const;
+  /// Appends the record of a key if it fits.
+  void AppendRecord(const UpdateKey& aKey, GossipMessage& aMessage,
+                    size_t& aRoom) const;
 
   const MemberTable& mTable;
   const FactTable& mFacts;
-  size_t mMaxNewsBytes;
-  NewsQueue mNews;
+  size_t mMaxUpdateBytes;
+  UpdateQueue mUpdates;
 };
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/membership_impl.h
+++ b/src/librillwall_coordination/membership_impl.h
@@ -1,5 +1,5 @@
 /// \file
-/// The parts of a node's membership, wired together.
+/// Implementation of Membership, which connects its parts.
 
 #pragma once
 
@@ -17,24 +17,26 @@
 
 namespace rillwall {
 
-/// What stands behind Membership. Receiving is in membership_receive.cpp, the
-/// rest in membership.cpp.
+/// State and steps of Membership. Handling of received records is in
+/// membership_receive.cpp, the rest in membership.cpp.
 struct Membership::Impl {
   Impl(const Member& aSelf, std::vector<std::string> aSeeds,
        const GossipLimits& aLimits, uint64_t aSeed);
 
-  /// Where a record came from.
+  /// How a record was received.
   enum class Source { Datagram, Exchange };
 
-  /// Sends the prober's datagrams with what their receivers should know.
+  /// Sends the prober's datagrams with the updates that their receivers need.
   void Send(const ProbeStep& aStep, GossipActions& aActions);
-  void Send(const GossipHead& aHead, const std::vector<NewsKey>& aFirst,
+  void Send(const GossipHeader& aHead, const std::vector<UpdateKey>& aPriority,
             GossipActions& aActions);
-  /// What a ping says before other news.
-  std::vector<NewsKey> PingNews(const std::string& aTarget);
-  /// Passes news on to random members.
-  void Spread(Millis aNow, GossipActions& aActions);
-  void TrySeeds(Millis aNow, GossipActions& aActions);
+  /// \return updates that a ping carries before pending ones
+  std::vector<UpdateKey> PingUpdates(const std::string& aTarget);
+  /// Sends pending updates to random members.
+  void GossipUpdates(Millis aNow, GossipActions& aActions);
+  /// Pings a random seed: often while this node knows no other, rarely after.
+  void PingSeed(Millis aNow, GossipActions& aActions);
+  /// Probes a random dead member from time to time, to heal a partition.
   void ProbeDead(Millis aNow, GossipActions& aActions);
 
   void Receive(const GossipMessage& aMessage, std::string_view aFrom,
@@ -47,23 +49,30 @@
              GossipActions& aActions);
   void OnNack(const GossipMessage& aMessage, std::string_view aFrom,
               Millis aNow, GossipActions& aActions);
-  void TakeMember(const Member& aRecord, Source aSource, Millis aNow,
-                  GossipActions& aActions);
-  void TakeAboutSelf(const Member& aRecord, GossipActions& aActions);
-  void TakeFact(const Fact& aFact, bool aPassOn, GossipActions& aActions);
-  /// \return a record of a death as a suspicion if it comes unexpected
-  Member AsSuspicion(const Member& aRecord, Source aSource, Millis aNow) const;
+  void MergeMember(const Member& aRecord, Source aSource, Millis aNow,
+                   GossipActions& aActions);
+  /// Refutes a record that claims that this node is suspect or dead.
+  void MergeAboutSelf(const Member& aRecord, GossipActions& aActions);
+  /// \param aForward whether to gossip a new fact
+  void MergeFact(const Fact& aFact, bool aForward, GossipActions& aActions);
+  /// \return the record, with an unexpected death downgraded to a suspicion
+  Member DowngradeToSuspect(const Member& aRecord, Source aSource,
+                            Millis aNow) const;
 
-  /// Doubts this node itself after it has not run for a while.
+  /// Discards outstanding probes and restarts timers if this node has not run
+  /// for a while, because it could not receive answers.
   void CheckStall(Millis aNow);
+  /// Handles a member that failed its probe.
   void Suspect(const std::string& aId, Millis aNow, GossipActions& aActions);
-  void Conclude(const std::string& aId, MemberState aState, Millis aNow,
+  /// Records, gossips and reports a state that this node has concluded.
+  void SetState(const std::string& aId, MemberState aState, Millis aNow,
                 GossipActions& aActions);
   void ExpireSuspicions(Millis aNow, GossipActions& aActions);
-  /// \return time from suspect to dead for a node in good health
-  Millis LeastSuspicion() const;
-  /// \return time from suspect to dead for this node
-  Millis SuspicionSpan() const;
+  /// \return time from suspect to dead if this node is healthy
+  Millis MinSuspicionTimeout() const;
+  /// \return time from suspect to dead, scaled by the health of this node
+  Millis SuspicionTimeout() const;
+  /// \return whether this node started only recently
   bool IsNewcomer(Millis aNow) const;
 
   GossipLimits mLimits;
@@ -73,13 +82,14 @@
   FactTable mFacts;
   GossipComposer mComposer;
   Prober mProber;
-  std::vector<NewsKey> mCorrections;  ///< what the sender holds wrongly
+  std::vector<UpdateKey>
+      mCorrections;  ///< records of the sender that are outdated
   std::optional<Millis> mFirstTick;
   Millis mLastTick;
-  Millis mDeafUntil;  ///< datagrams that arrive before are out of date
-  Millis mNextSpread;
-  Millis mNextRevive;
-  Millis mNextSeed;
+  Millis mIgnoreDatagramsUntil;  ///< earlier datagrams may be outdated
+  Millis mNextGossip;
+  Millis mNextDeadProbe;
+  Millis mNextSeedPing;
 };
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/membership_parts_test.cpp
+++ b/src/librillwall_coordination/membership_parts_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the membership's parts: news, facts, duties.
+/// Tests of the membership's parts: updates, facts, duties.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -38,18 +38,19 @@
   CPPUNIT_TEST_SUITE_END();
 
   void LeastSentNewsGoesFirst() {
-    const NewsKey old{NewsKey::Kind::Fact, "old"};
-    const NewsKey fresh{NewsKey::Kind::Fact, "fresh"};
-    NewsQueue news;
-    news.Add(old, 40);
-    CPPUNIT_ASSERT(news.Take(40, 3) == std::vector<NewsKey>{old});
-    news.Add(fresh, 40);
-    CPPUNIT_ASSERT(news.Take(40, 3) == std::vector<NewsKey>{fresh});
-    CPPUNIT_ASSERT(news.Take(100, 3) == (std::vector<NewsKey>{fresh, old}));
-    CPPUNIT_ASSERT(news.Take(39, 3).empty());
-    CPPUNIT_ASSERT_EQUAL(size_t{80}, news.Bytes());
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, news.Take(100, 3).size());
-    CPPUNIT_ASSERT(news.IsEmpty() && news.Bytes() == 0);
+    const UpdateKey old{UpdateKey::Kind::Fact, "old"};
+    const UpdateKey fresh{UpdateKey::Kind::Fact, "fresh"};
+    UpdateQueue updates;
+    updates.Add(old, 40);
+    CPPUNIT_ASSERT(updates.Take(40, 3) == std::vector<UpdateKey>{old});
+    updates.Add(fresh, 40);
+    CPPUNIT_ASSERT(updates.Take(40, 3) == std::vector<UpdateKey>{fresh});
+    CPPUNIT_ASSERT(updates.Take(100, 3) ==
+                   (std::vector<UpdateKey>{fresh, old}));
+    CPPUNIT_ASSERT(updates.Take(39, 3).empty());
+    CPPUNIT_ASSERT_EQUAL(size_t{80}, updates.Bytes());
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, updates.Take(100, 3).size());
+    CPPUNIT_ASSERT(updates.IsEmpty() && updates.Bytes() == 0);
   }
 
   void FactsMergeInAnyOrder() {
@@ -63,14 +64,14 @@
       FactTable left;
       FactTable right;
       for (const Fact& fact : facts) {
-        left.Take(fact);
+        left.Merge(fact);
       }
       std::shuffle(facts.begin(), facts.end(), random);
       for (const Fact& fact : facts) {
-        right.Take(fact);
-        right.Take(facts.front());  // repeats change nothing
+        right.Merge(fact);
+        right.Merge(facts.front());  // repeats change nothing
       }
-      CPPUNIT_ASSERT(left.Under("") == right.Under(""));
+      CPPUNIT_ASSERT(left.WithPrefix("") == right.WithPrefix(""));
       CPPUNIT_ASSERT_EQUAL(left.Digest(), right.Digest());
     }
   }
--- a/src/librillwall_coordination/membership_probe.cpp
+++ b/src/librillwall_coordination/membership_probe.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Lifeguard takes 7. With that a zone that is cut off from the rest needs
-// minutes to see it.
-constexpr int kWorstScore = 3;
-// Bounds the memory that requests of others can take.
+// Lifeguard uses 7. With 7, a zone that is cut off from the rest needs minutes
+// to detect it.
+constexpr int kMaxScore = 3;
+// Bounds the memory that requests of other nodes can use.
 constexpr size_t kMaxRelays = 256;
 
 bool IsAlive(const MemberEntry& aEntry) {
@@ -21,7 +21,7 @@
 void LocalHealth::Improve() { mScore = std::max(0, mScore - 1); }
 
 void LocalHealth::Worsen(int aBy) {
-  mScore = std::min(kWorstScore, mScore + aBy);
+  mScore = std::min(kMaxScore, mScore + aBy);
 }
 
 const Member* ProbeOrder::Next(const MemberTable& aTable,
@@ -65,24 +65,24 @@
   ProbeStep step;
   ExpireRelays(aNow, step);
   if (mOutstanding && aNow >= mOutstanding->mFailsAt) {
-    Fail(step);
+    FailProbe(step);
   } else if (mOutstanding && !mOutstanding->mIndirect &&
              aNow >= mOutstanding->mIndirectAt) {
-    GoIndirect(aTable, aRandom, step);
+    SendIndirectProbes(aTable, aRandom, step);
   }
   if (!mNextStart) {
-    // Nodes that start together shall not probe in step.
+    // A random start keeps nodes that start together from probing in step.
     const auto period = static_cast<uint64_t>(mLimits.mProbePeriod.Count());
     mNextStart = aNow + Millis(static_cast<int64_t>(aRandom() % period));
   }
   if (!mOutstanding && aNow >= *mNextStart) {
-    Start(aTable, aRandom, aNow, step);
+    StartProbe(aTable, aRandom, aNow, step);
   }
   return step;
 }
 
-void Prober::Start(const MemberTable& aTable, std::mt19937_64& aRandom,
-                   Millis aNow, ProbeStep& aStep) {
+void Prober::StartProbe(const MemberTable& aTable, std::mt19937_64& aRandom,
+                        Millis aNow, ProbeStep& aStep) {
   const Millis period = mLimits.mProbePeriod * mHealth.Factor();
   mNextStart = aNow + period;
   const Member* target = mOrder.Next(aTable, aRandom);
@@ -99,8 +99,8 @@
       {GossipKind::Ping, target->mGossip, target->mId, probe.mSequence});
 }
 
-void Prober::GoIndirect(const MemberTable& aTable, std::mt19937_64& aRandom,
-                        ProbeStep& aStep) {
+void Prober::SendIndirectProbes(const MemberTable& aTable,
+                                std::mt19937_64& aRandom, ProbeStep& aStep) {
   Outstanding& probe = *mOutstanding;
   probe.mIndirect = true;
   const auto relays = aTable.Sample(
@@ -114,9 +114,9 @@
   }
 }
 
-void Prober::Fail(ProbeStep& aStep) {
-  // Relays that answered show that it is the target that is at fault. Where
-  // there were none to ask, this node may be the one cut off.
+void Prober::FailProbe(ProbeStep& aStep) {
+  // Relays that answered show that the target is at fault. Without any relay to
+  // ask, this node itself may be cut off.
   const bool hadRelays = mOutstanding->mIndirect;
   mHealth.Worsen(hadRelays ? mOutstanding->mNacksMissing : 1);
   aStep.mFailed = mOutstanding->mTarget;
@@ -152,7 +152,7 @@
   return step;
 }
 
-ProbeStep Prober::Ack(const GossipMessage& aMessage) {
+ProbeStep Prober::HandleAck(const GossipMessage& aMessage) {
   ProbeStep step;
   if (mOutstanding && mOutstanding->mSequence == aMessage.mSequence &&
       mOutstanding->mTarget == aMessage.mTarget) {
@@ -170,7 +170,7 @@
   return step;
 }
 
-void Prober::Nack(const GossipMessage& aMessage) {
+void Prober::HandleNack(const GossipMessage& aMessage) {
   if (mOutstanding && mOutstanding->mSequence == aMessage.mSequence) {
     mOutstanding->mNacksMissing = std::max(0, mOutstanding->mNacksMissing - 1);
   }
--- a/src/librillwall_coordination/membership_probe.h
+++ b/src/librillwall_coordination/membership_probe.h
@@ -1,5 +1,6 @@
 /// \file
-/// The failure detector's probes: whom to probe, what to send, what failed.
+/// Probes of the failure detector: which member to probe, which datagrams to
+/// send, and which probe failed.
 
 #pragma once
 
@@ -15,25 +16,25 @@
 
 namespace rillwall {
 
-/// How well this node itself keeps up, after Lifeguard: a node that misses
-/// answers doubts itself first and gives the others more time.
+/// Local health of this node, after Lifeguard: a node that misses answers
+/// assumes that it is slow itself and gives the other members more time.
 class LocalHealth {
  public:
   void Improve();
   void Worsen(int aBy);
-  /// \return the factor for spans of time, 1 for a healthy node
+  /// \return factor for timeouts, 1 for a healthy node
   int Factor() const { return mScore + 1; }
 
  private:
   int mScore = 0;
 };
 
-/// Whom to probe next: all others in a random order, each once a round.
+/// Order of probes: all other members in random order, each once per round.
 class ProbeOrder {
  public:
   /// \return the next member that is not dead, or nullptr if there is none
   const Member* Next(const MemberTable& aTable, std::mt19937_64& aRandom);
-  /// Adds a new member at a random place of the present round.
+  /// Adds a new member at a random position in the current round.
   void Add(const std::string& aId, std::mt19937_64& aRandom);
 
  private:
@@ -43,26 +44,28 @@
   size_t mPlace = 0;
 };
 
-/// What a step of the detector gives.
+/// Result of a step of the failure detector.
 struct ProbeStep {
-  std::vector<GossipHead> mDatagrams;
-  std::string mFailed;  ///< id of a member that answered nobody; or empty
+  std::vector<GossipHeader> mDatagrams;  ///< to send
+  std::string mFailed;  ///< ID of the member whose probe failed, or empty
 };
 
-/// Probes one member a period: directly, then through others. Also probes on
-/// behalf of others (relays).
+/// Probes one member per period, directly and then through other members. Also
+/// probes on behalf of other nodes (relays).
 class Prober {
  public:
   explicit Prober(const GossipLimits& aLimits);
 
   ProbeStep Tick(const MemberTable& aTable, std::mt19937_64& aRandom,
                  Millis aNow);
-  /// Another node asks for a probe of aMessage.mTarget.
+  /// Starts the probe of aMessage.mTarget that another node requests.
   ProbeStep Relay(const GossipMessage& aMessage, std::string_view aFrom,
                   const MemberTable& aTable, Millis aNow);
-  ProbeStep Ack(const GossipMessage& aMessage);
-  void Nack(const GossipMessage& aMessage);
-  /// Forgets what is outstanding, after a stall of this node.
+  /// Handles the answer to this node's own probe or to a relayed one.
+  ProbeStep HandleAck(const GossipMessage& aMessage);
+  /// Records that a relay works although its probe got no answer.
+  void HandleNack(const GossipMessage& aMessage);
+  /// Drops all outstanding probes, after a stall of this node.
   void Discard(Millis aNow);
 
   void AddMember(const std::string& aId, std::mt19937_64& aRandom) {
@@ -73,7 +76,7 @@
   uint64_t NextSequence() { return ++mSequence; }
 
  private:
-  /// The probe of this period.
+  /// This node's own probe of the current period.
   struct Outstanding {
     std::string mTarget;
     uint64_t mSequence = 0;
@@ -82,7 +85,7 @@
     bool mIndirect = false;
     int mNacksMissing = 0;
   };
-  /// A probe on behalf of another node.
+  /// Probe on behalf of another node.
   struct RelayedProbe {
     std::string mTarget;
     std::string mOrigin;  ///< "ip:port"
@@ -90,18 +93,18 @@
     Millis mFailsAt;
   };
 
-  void Start(const MemberTable& aTable, std::mt19937_64& aRandom, Millis aNow,
-             ProbeStep& aStep);
-  void GoIndirect(const MemberTable& aTable, std::mt19937_64& aRandom,
-                  ProbeStep& aStep);
-  void Fail(ProbeStep& aStep);
+  void StartProbe(const MemberTable& aTable, std::mt19937_64& aRandom,
+                  Millis aNow, ProbeStep& aStep);
+  void SendIndirectProbes(const MemberTable& aTable, std::mt19937_64& aRandom,
+                          ProbeStep& aStep);
+  void FailProbe(ProbeStep& aStep);
   void ExpireRelays(Millis aNow, ProbeStep& aStep);
 
   GossipLimits mLimits;
   ProbeOrder mOrder;
   LocalHealth mHealth;
   std::optional<Outstanding> mOutstanding;
-  std::map<uint64_t, RelayedProbe> mRelays;  ///< by our sequence
+  std::map<uint64_t, RelayedProbe> mRelays;  ///< by the sequence of this node
   uint64_t mSequence = 0;
   std::optional<Millis> mNextStart;
 };
--- a/src/librillwall_coordination/membership_receive.cpp
+++ b/src/librillwall_coordination/membership_receive.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The receiving side of a node's membership.
+/// Handling of received datagrams and records by Membership.
 
 #include <array>
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Members named to a newcomer in an answer.
-constexpr size_t kNamedToNewcomer = 8;
+// Random members included in the answer to a joining node.
+constexpr size_t kMembersPerJoinReply = 8;
 
 }  // namespace
 
@@ -27,15 +27,15 @@
     return;
   }
   CheckStall(aNow);
-  if (aNow < mDeafUntil) {
+  if (aNow < mIgnoreDatagramsUntil) {
     return;
   }
   mCorrections.clear();
   for (const Member& record : aMessage.mMembers) {
-    TakeMember(record, Source::Datagram, aNow, aActions);
+    MergeMember(record, Source::Datagram, aNow, aActions);
   }
   for (const Fact& fact : aMessage.mFacts) {
-    TakeFact(fact, true, aActions);
+    MergeFact(fact, true, aActions);
   }
   mTable.NoteContact(aMessage.mFrom, aNow);
   (this->*kHandlers[kind])(aMessage, aFrom, aNow, aActions);
@@ -47,14 +47,14 @@
   const std::string& self = mTable.Self().mId;
   const bool isToAnyone = aMessage.mTarget.empty();
   if (!isToAnyone && aMessage.mTarget != self) {
-    return;  // for an earlier process at this address, which is gone
+    return;  // for an earlier process at this address
   }
-  std::vector<NewsKey> first = mCorrections;
+  std::vector<UpdateKey> first = mCorrections;
   if (isToAnyone) {
-    first.push_back({NewsKey::Kind::Member, self});
-    for (const Member& member :
-         mTable.Sample(kNamedToNewcomer, mRandom, &MemberEntry::IsPresent)) {
-      first.push_back({NewsKey::Kind::Member, member.mId});
+    first.push_back({UpdateKey::Kind::Member, self});
+    for (const Member& member : mTable.Sample(kMembersPerJoinReply, mRandom,
+                                              &MemberEntry::IsPresent)) {
+      first.push_back({UpdateKey::Kind::Member, member.mId});
     }
   }
   Send({GossipKind::Ack, std::string(aFrom), self, aMessage.mSequence}, first,
@@ -70,56 +70,57 @@
 void Membership::Impl::OnAck(const GossipMessage& aMessage, std::string_view,
                              Millis aNow, GossipActions& aActions) {
   mTable.NoteContact(aMessage.mTarget, aNow);
-  Send(mProber.Ack(aMessage), aActions);
+  Send(mProber.HandleAck(aMessage), aActions);
 }
 
 void Membership::Impl::OnNack(const GossipMessage& aMessage, std::string_view,
                               Millis, GossipActions&) {
-  mProber.Nack(aMessage);
+  mProber.HandleNack(aMessage);
 }
 
-Member Membership::Impl::AsSuspicion(const Member& aRecord, Source aSource,
-                                     Millis aNow) const {
+Member Membership::Impl::DowngradeToSuspect(const Member& aRecord,
+                                            Source aSource, Millis aNow) const {
   const MemberEntry& entry = *mTable.Find(aRecord.mId);
   const bool isDeath =
       aRecord.mState == MemberState::Dead && HoldsDuties(entry.mMember.mState);
-  const bool isHeardOf = aNow - entry.mLastContact < mLimits.mSuspicion;
-  const bool isExpected =
-      entry.mTimed && aNow - entry.mTimedSince >= LeastSuspicion() * 3 / 4;
+  const bool isHeardOf = aNow - entry.mLastContact < mLimits.mMinSuspicion;
+  const bool isExpected = entry.mHasTimer && aNow - entry.mTimerStart >=
+                                                 MinSuspicionTimeout() * 3 / 4;
   Member record = aRecord;
-  // After a partition each half hears that its own members are dead. As a
-  // suspicion this can be refuted before it counts.
+  // After a partition each half learns that its own members were declared dead.
+  // A suspicion instead can be refuted before it takes effect.
   if (isDeath && (isHeardOf || !isExpected || aSource == Source::Exchange)) {
     record.mState = MemberState::Suspect;
   }
   return record;
 }
 
-void Membership::Impl::TakeMember(const Member& aRecord, Source aSource,
-                                  Millis aNow, GossipActions& aActions) {
+void Membership::Impl::MergeMember(const Member& aRecord, Source aSource,
+                                   Millis aNow, GossipActions& aActions) {
   if (!IsValid(aRecord)) {
     return;
   }
   if (mTable.IsSelf(aRecord.mId)) {
-    TakeAboutSelf(aRecord, aActions);
+    MergeAboutSelf(aRecord, aActions);
     return;
   }
   const bool isKnown = mTable.Find(aRecord.mId) != nullptr;
   if (!isKnown && aRecord.mState == MemberState::Dead) {
-    return;  // else nodes would remind each other of the dead for ever
+    return;  // else nodes would exchange the records of dead members forever
   }
-  const Member record = isKnown ? AsSuspicion(aRecord, aSource, aNow) : aRecord;
-  const MemberVerdict verdict = mTable.Take(record, aNow);
-  if (verdict == MemberVerdict::Older) {
-    mCorrections.push_back({NewsKey::Kind::Member, aRecord.mId});
+  const Member record =
+      isKnown ? DowngradeToSuspect(aRecord, aSource, aNow) : aRecord;
+  const MemberMergeResult result = mTable.Merge(record, aNow);
+  if (result == MemberMergeResult::Older) {
+    mCorrections.push_back({UpdateKey::Kind::Member, aRecord.mId});
   }
-  if (verdict == MemberVerdict::Same || verdict == MemberVerdict::Older) {
+  if (result == MemberMergeResult::Same || result == MemberMergeResult::Older) {
     return;
   }
   if (!isKnown) {
     mProber.AddMember(record.mId, mRandom);
   }
-  if (verdict == MemberVerdict::Changed) {
+  if (result == MemberMergeResult::Changed) {
     aActions.mChangedMembers.push_back(record);
   }
   if (aSource == Source::Datagram || !IsNewcomer(aNow)) {
@@ -127,36 +128,36 @@
   }
 }
 
-void Membership::Impl::TakeAboutSelf(const Member& aRecord,
-                                     GossipActions& aActions) {
+void Membership::Impl::MergeAboutSelf(const Member& aRecord,
+                                      GossipActions& aActions) {
   const Member& self = mTable.Self();
   if (!Overrides(aRecord, self)) {
     if (aRecord != self) {
-      mCorrections.push_back({NewsKey::Kind::Member, self.mId});
+      mCorrections.push_back({UpdateKey::Kind::Member, self.mId});
     }
     return;
   }
   mTable.SetSelf(aRecord.mIncarnation + 1, self.mState);
   mProber.Health().Worsen(1);
-  mCorrections.push_back({NewsKey::Kind::Member, self.mId});
+  mCorrections.push_back({UpdateKey::Kind::Member, self.mId});
   mComposer.Add(self);
-  mNextSpread = Millis();
+  mNextGossip = Millis();
   if (aRecord.mState == MemberState::Dead) {
-    aActions.mChangedMembers.push_back(self);  // its duties went to others
+    aActions.mChangedMembers.push_back(self);  // its duties went to other nodes
   }
 }
 
-void Membership::Impl::TakeFact(const Fact& aFact, bool aPassOn,
-                                GossipActions& aActions) {
-  const FactVerdict verdict = mFacts.Take(aFact);
-  if (verdict == FactVerdict::Older) {
-    mCorrections.push_back({NewsKey::Kind::Fact, aFact.mKey});
+void Membership::Impl::MergeFact(const Fact& aFact, bool aForward,
+                                 GossipActions& aActions) {
+  const FactMergeResult result = mFacts.Merge(aFact);
+  if (result == FactMergeResult::Older) {
+    mCorrections.push_back({UpdateKey::Kind::Fact, aFact.mKey});
   }
-  if (verdict != FactVerdict::Newer) {
+  if (result != FactMergeResult::Newer) {
     return;
   }
   aActions.mUpdatedFacts.push_back(aFact);
-  if (aPassOn) {
+  if (aForward) {
     mComposer.Add(aFact);
   }
 }
--- a/src/librillwall_coordination/membership_step_test.cpp
+++ b/src/librillwall_coordination/membership_step_test.cpp
@@ -101,7 +101,7 @@
   void ADeafNodeWaitsLonger() {
     const Millis start = mNow;
     TickUntil(TellsOfDeath);
-    CPPUNIT_ASSERT(mNow - start > GossipLimits{}.mSuspicion * 2);
+    CPPUNIT_ASSERT(mNow - start > GossipLimits{}.mMinSuspicion * 2);
   }
 
   void AStoppedNodeDeclaresNobodyDead() {
@@ -109,7 +109,7 @@
     mNow += Millis(30000);
     const Millis woken = mNow;
     TickUntil(TellsOfDeath);
-    CPPUNIT_ASSERT(mNow - woken >= GossipLimits{}.mSuspicion);
+    CPPUNIT_ASSERT(mNow - woken >= GossipLimits{}.mMinSuspicion);
   }
 
   void UnknownDeadAreNotTakenIn() {
--- a/src/librillwall_coordination/membership_table.cpp
+++ b/src/librillwall_coordination/membership_table.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr size_t kMaxText = 255;
-// Above it an incarnation could not be raised further for long.
+constexpr size_t kMaxText = 255;  // bytes
+// Leaves room to raise an incarnation further.
 constexpr uint64_t kMaxIncarnation = uint64_t{1} << 62;
 
 auto Rank(const Member& aMember) {
@@ -48,24 +48,24 @@
   mEntries[mSelfId].mMember = aSelf;
 }
 
-MemberVerdict MemberTable::Take(const Member& aRecord, Millis aNow) {
+MemberMergeResult MemberTable::Merge(const Member& aRecord, Millis aNow) {
   const auto [place, isNew] = mEntries.try_emplace(aRecord.mId);
   MemberEntry& entry = place->second;
   if (isNew) {
     Replace(entry, aRecord, aNow);
-    return MemberVerdict::Changed;
+    return MemberMergeResult::Changed;
   }
   if (entry.mMember == aRecord) {
     entry.mUnconfirmed = false;
-    return MemberVerdict::Same;
+    return MemberMergeResult::Same;
   }
   if (!Overrides(aRecord, entry.mMember)) {
-    return MemberVerdict::Older;
+    return MemberMergeResult::Older;
   }
   entry.mUnconfirmed = false;
   const bool isChange = !SameButIncarnation(aRecord, entry.mMember);
   Replace(entry, aRecord, aNow);
-  return isChange ? MemberVerdict::Changed : MemberVerdict::Newer;
+  return isChange ? MemberMergeResult::Changed : MemberMergeResult::Newer;
 }
 
 void MemberTable::Replace(MemberEntry& aEntry, const Member& aRecord,
@@ -77,11 +77,11 @@
     aEntry.mDeadSince = aNow;
   }
   aEntry.mMember = aRecord;
-  aEntry.mTimed = aRecord.mState == MemberState::Suspect;
-  aEntry.mTimedSince = aNow;
+  aEntry.mHasTimer = aRecord.mState == MemberState::Suspect;
+  aEntry.mTimerStart = aNow;
 }
 
-const Member& MemberTable::Conclude(std::string_view aId, MemberState aState,
+const Member& MemberTable::SetState(std::string_view aId, MemberState aState,
                                     Millis aNow) {
   assert(!IsSelf(aId));
   MemberEntry& entry = mEntries.find(aId)->second;
@@ -93,9 +93,9 @@
 
 void MemberTable::StartTimer(std::string_view aId, Millis aNow) {
   MemberEntry& entry = mEntries.find(aId)->second;
-  if (!entry.mTimed) {
-    entry.mTimed = true;
-    entry.mTimedSince = aNow;
+  if (!entry.mHasTimer) {
+    entry.mHasTimer = true;
+    entry.mTimerStart = aNow;
   }
 }
 
@@ -128,7 +128,7 @@
 
 void MemberTable::RestartTimers(Millis aNow) {
   for (auto& [id, entry] : mEntries) {
-    entry.mTimedSince = aNow;
+    entry.mTimerStart = aNow;
   }
 }
 
@@ -145,16 +145,17 @@
   }
   entry->mLastContact = aNow;
   entry->mUnconfirmed = false;
-  // A suspicion ends by a refutation only; a leaving member has no such state.
+  // A suspicion ends only by a refutation. A leaving member has no Suspect
+  // state, so contact stops its timer.
   if (entry->mMember.mState == MemberState::Leaving) {
-    entry->mTimed = false;
+    entry->mHasTimer = false;
   }
 }
 
-std::vector<std::string> MemberTable::TimedSince(Millis aInstant) const {
+std::vector<std::string> MemberTable::TimersStartedBy(Millis aInstant) const {
   std::vector<std::string> ids;
   for (const auto& [id, entry] : mEntries) {
-    if (entry.mTimed && entry.mTimedSince <= aInstant) {
+    if (entry.mHasTimer && entry.mTimerStart <= aInstant) {
       ids.push_back(id);
     }
   }
@@ -212,7 +213,7 @@
     if (entry.IsDead()) {
       continue;
     }
-    // A suspicion is passing news, no lasting difference.
+    // Suspicions are excluded because they are transient.
     const bool isLeaving = member.mState == MemberState::Leaving;
     const uint64_t version = member.mIncarnation * 2 + (isLeaving ? 1 : 0);
     digest ^= XXH3_64bits_withSeed(id.data(), id.size(), version);
--- a/src/librillwall_coordination/membership_table.h
+++ b/src/librillwall_coordination/membership_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a node knows of the members of the fleet.
+/// A node's table of the members of the fleet.
 
 #pragma once
 
@@ -14,89 +14,90 @@
 
 namespace rillwall {
 
-/// An instant before every other, for "never".
+/// Time before all others, for "never".
 inline constexpr Millis kNever{-1'000'000'000'000};
 
-/// A member's record with what only this node knows of it.
+/// Record of a member with local state that is not exchanged.
 struct MemberEntry {
   Member mMember;
-  bool mTimed = false;           ///< becomes dead unless it is heard of in time
-  Millis mTimedSince;            ///< start of that time
-  Millis mDeadSince;             ///< valid while the state is Dead
-  Millis mLastContact = kNever;  ///< last datagram that came from it
-  /// Known from before a long stall and not heard of since: not passed on.
+  bool mHasTimer = false;  ///< becomes dead when the timer expires
+  Millis mTimerStart;      ///< start of the timer
+  Millis mDeadSince;       ///< valid while the state is Dead
+  Millis mLastContact =
+      kNever;  ///< last datagram from the member or proof that it is alive
+  /// Known from before a long stall and not confirmed since; not gossiped.
   bool mUnconfirmed = false;
 
   bool IsDead() const { return mMember.mState == MemberState::Dead; }
   bool IsPresent() const { return !IsDead(); }
-  bool IsTimed() const { return mTimed; }
+  bool HasTimer() const { return mHasTimer; }
 };
 
-/// What became of a record offered to a table.
-enum class MemberVerdict {
-  Same,     ///< known already
-  Older,    ///< a record that overrides it is known
-  Newer,    ///< taken in; what the owner sees is unchanged
-  Changed,  ///< taken in; the member is new or its state or addresses changed
+/// Result of merging a record into a table.
+enum class MemberMergeResult {
+  Same,     ///< already known
+  Older,    ///< a record that overrides it is known; not stored
+  Newer,    ///< stored; nothing visible to the owner changed
+  Changed,  ///< stored; the member is new or its state or addresses changed
 };
 
 /// \return whether aLeft overrides aRight: by incarnation, then by state. The
-/// rest makes the order total, so that tables converge.
+/// other fields make the order total, so that all tables converge.
 bool Overrides(const Member& aLeft, const Member& aRight);
 
-/// \return whether a record is fit to be taken from the network
+/// \return whether a record received from the network is valid
 bool IsValid(const Member& aMember);
 
 /// \return whether members in this state hold duties
 bool HoldsDuties(MemberState aState);
 
-/// The members by id, this node among them.
+/// The members by ID, including this node.
 class MemberTable {
  public:
   using Filter = std::function<bool(const MemberEntry&)>;
 
   explicit MemberTable(const Member& aSelf);
 
-  /// Takes a record in if it overrides the one known. Starts the timer of a
+  /// Stores a record if it overrides the known one. Starts the timer of a
   /// member that becomes Suspect.
-  MemberVerdict Take(const Member& aRecord, Millis aNow);
-  /// Gives a member the state that this node itself concludes, at the
-  /// incarnation known.
-  /// \return its record
-  const Member& Conclude(std::string_view aId, MemberState aState, Millis aNow);
-  /// Starts a member's timer, if it does not run.
+  MemberMergeResult Merge(const Member& aRecord, Millis aNow);
+  /// Sets the state of a member as concluded by this node, at the known
+  /// incarnation.
+  /// \return the new record
+  const Member& SetState(std::string_view aId, MemberState aState, Millis aNow);
+  /// Starts the timer of a member unless it is running.
   void StartTimer(std::string_view aId, Millis aNow);
-  /// Gives this node another incarnation and state.
+  /// Sets the incarnation and state of this node.
   void SetSelf(uint64_t aIncarnation, MemberState aState);
   const Member& Self() const { return mEntries.at(mSelfId).mMember; }
 
-  /// \return the entry of this id, or nullptr
+  /// \return the entry with this ID, or nullptr
   MemberEntry* Find(std::string_view aId);
   const MemberEntry* Find(std::string_view aId) const;
   bool IsSelf(std::string_view aId) const { return aId == mSelfId; }
 
-  /// Removes members that have been dead since before an instant.
+  /// Removes members that died before a time.
   void ForgetDead(Millis aBefore);
-  /// Gives every running timer its full time again.
+  /// Restarts every running timer.
   void RestartTimers(Millis aNow);
-  /// Marks all others as not heard of since a long stall.
+  /// Marks all other members as unconfirmed, after a long stall.
   void MarkUnconfirmed();
-  /// Stops the timer of a member that is heard of, if its state allows it.
+  /// Records that a member is alive. Stops its timer if its state allows that.
   void NoteContact(std::string_view aId, Millis aNow);
 
-  /// \return ids of members whose timer started at an instant or before
-  std::vector<std::string> TimedSince(Millis aInstant) const;
-  /// \return up to aCount others that pass the filter, chosen at random
+  /// \return IDs of members whose timer started at or before a time
+  std::vector<std::string> TimersStartedBy(Millis aInstant) const;
+  /// \return up to aCount other members that pass the filter, chosen at random
   std::vector<Member> Sample(size_t aCount, std::mt19937_64& aRandom,
                              const Filter& aFilter) const;
-  /// \return the number of members that are not dead, itself included
+  /// \return the number of members that are not dead, including this node
   size_t CountPresent() const { return mEntries.size() - mDead; }
   size_t CountDead() const { return mDead; }
-  /// \return whether an other one that is not dead has this gossip address
+  /// \return whether a member that is not dead has this gossip address
   bool HasPresentAt(std::string_view aGossip) const;
-  /// \return members that pass the filter, ordered by id
+  /// \return members that pass the filter, ordered by ID
   std::vector<Member> Select(const Filter& aFilter) const;
-  /// \return a digest that is equal for equal sets of members not dead
+  /// \return a digest that is equal for equal sets of members that are not dead
   uint64_t Digest() const;
 
  private:
--- a/src/librillwall_coordination/membership_test.cpp
+++ b/src/librillwall_coordination/membership_test.cpp
@@ -60,7 +60,7 @@
     net.Crash(4);
     const Millis took = net.RunUntil(kNeverHeld, [&] { return net.AllSee(8); });
     CPPUNIT_ASSERT(took < Millis(10000));
-    net.Run(GossipLimits{}.mForgetDead + Millis(10000));
+    net.Run(GossipLimits{}.mDeadRetention + Millis(10000));
     CPPUNIT_ASSERT_EQUAL(size_t{8}, net.At(0).All().size());
     net.Restart(4, 2);
     net.Run(Millis(10000));
@@ -193,8 +193,8 @@
     net.Run(Millis(10000));
     CPPUNIT_ASSERT_EQUAL(size_t{100},
                          net.At(8).FactsWithPrefix("leaving/").size());
-    CPPUNIT_ASSERT(largest > GossipLimits{}.mMaxNewsBytes / 2);
-    CPPUNIT_ASSERT(largest <= GossipLimits{}.mMaxNewsBytes);
+    CPPUNIT_ASSERT(largest > GossipLimits{}.mMaxUpdateBytes / 2);
+    CPPUNIT_ASSERT(largest <= GossipLimits{}.mMaxUpdateBytes);
   }
 
   void AllConvergeAfterRandomFaults() {
--- a/src/librillwall_coordination/membership_updates.cpp
+++ b/src/librillwall_coordination/membership_updates.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-// Tags, lengths and numbers of a protobuf record.
+// Bytes of the tags, lengths and numbers of a protobuf record.
 constexpr size_t kMemberOverhead = 24;
 constexpr size_t kFactOverhead = 18;
-// No piece of news is smaller than this.
-constexpr size_t kLeastNews = 20;
-// With 2 a rumour reaches all of 370 nodes with a loss of 1 in 10.
+// No update is smaller than this.
+constexpr size_t kMinUpdateBytes = 20;
+// With 2, an update reaches all of 370 nodes at a packet loss of 1 in 10.
 constexpr size_t kSendsPerDoubling = 2;
-// Small fleets need more than the logarithm gives.
-constexpr size_t kLeastSends = 8;
-// How many items that do not fit are passed over in search of smaller ones.
-constexpr size_t kMaxPassedOver = 8;
+// Small fleets need more sends than the logarithm gives.
+constexpr size_t kMinSends = 8;
+// How many updates that do not fit are skipped in search of smaller ones.
+constexpr size_t kMaxSkipped = 8;
 
 }  // namespace
 
@@ -31,10 +31,10 @@
 
 size_t SendLimit(size_t aMembers) {
   const size_t doublings = std::bit_width(aMembers);
-  return std::max(kLeastSends, kSendsPerDoubling * doublings);
+  return std::max(kMinSends, kSendsPerDoubling * doublings);
 }
 
-void NewsQueue::Add(const NewsKey& aKey, size_t aBytes) {
+void UpdateQueue::Add(const UpdateKey& aKey, size_t aBytes) {
   const auto [known, isNew] = mPlaces.try_emplace(aKey);
   if (!isNew) {
     const auto old = mOrder.find(known->second);
@@ -47,17 +47,17 @@
   mOrder.emplace(place, Item{aKey, aBytes});
 }
 
-std::vector<NewsKey> NewsQueue::Take(size_t aBytes, size_t aLimit) {
-  std::vector<NewsKey> taken;
+std::vector<UpdateKey> UpdateQueue::Take(size_t aBytes, size_t aLimit) {
+  std::vector<UpdateKey> taken;
   std::vector<Place> places;
   size_t left = aBytes;
-  size_t passedOver = 0;
+  size_t skipped = 0;
   for (const auto& [place, item] : mOrder) {
-    if (left < kLeastNews || passedOver > kMaxPassedOver) {
+    if (left < kMinUpdateBytes || skipped > kMaxSkipped) {
       break;
     }
     if (item.mBytes > left) {
-      ++passedOver;
+      ++skipped;
       continue;
     }
     left -= item.mBytes;
--- a/src/librillwall_coordination/membership_updates.h
+++ b/src/librillwall_coordination/membership_updates.h
@@ -1,5 +1,5 @@
 /// \file
-/// The queue of news that a node passes on with its datagrams.
+/// Queue of the updates that a node gossips with its datagrams.
 
 #pragma once
 
@@ -12,55 +12,55 @@
 
 namespace rillwall {
 
-/// What a piece of news is about. The content is read from the tables when it
-/// is sent, so that the newest is sent always.
-struct NewsKey {
+/// Identifies the member or fact that an update is about. The contents are read
+/// from the tables when the update is sent, so the newest are always sent.
+struct UpdateKey {
   enum class Kind { Member, Fact };
   Kind mKind = Kind::Member;
-  std::string mName;  ///< member's id or fact's key
+  std::string mName;  ///< ID of the member or key of the fact
   // clang-tidy 14 takes the 0 of a rewritten comparison for a null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
-  auto operator<=>(const NewsKey&) const = default;
+  auto operator<=>(const UpdateKey&) const = default;
 };
 
-/// \return estimated bytes of a record on the wire
+/// \return estimated size of a record on the wire in bytes
 size_t EstimateBytes(const Member& aMember);
 size_t EstimateBytes(const Fact& aFact);
 
-/// \return how often one node passes on one piece of news in a fleet of
-/// aMembers: a multiple of the logarithm, so that it reaches all but rarely
+/// \return how often a node sends one update in a fleet of aMembers: a multiple
+/// of the logarithm, so that with high probability the update reaches all
 size_t SendLimit(size_t aMembers);
 
-/// News to pass on. What was sent least often goes first, and among equals the
-/// newest; what was sent often enough is dropped.
-class NewsQueue {
+/// Pending updates. Those sent least often come first and, among equals, the
+/// newest. Updates that were sent often enough are dropped.
+class UpdateQueue {
  public:
-  /// Adds news, or starts anew with news that changed.
-  void Add(const NewsKey& aKey, size_t aBytes);
-  /// Takes news for one datagram and counts it as sent.
-  /// \param aBytes at most this many estimated bytes together
-  /// \param aLimit drop what has been sent this often
-  std::vector<NewsKey> Take(size_t aBytes, size_t aLimit);
+  /// Adds an update. An update that is already pending counts as not sent yet.
+  void Add(const UpdateKey& aKey, size_t aBytes);
+  /// Takes updates for one datagram and counts them as sent.
+  /// \param aBytes maximum total of estimated bytes
+  /// \param aLimit number of times after which an update is dropped
+  std::vector<UpdateKey> Take(size_t aBytes, size_t aLimit);
   bool IsEmpty() const { return mOrder.empty(); }
-  /// \return estimated bytes of all news waiting
+  /// \return estimated bytes of all pending updates
   size_t Bytes() const { return mBytes; }
 
  private:
-  /// The place in the order of sending.
+  /// Position in the order of sending.
   struct Place {
     size_t mSent = 0;
-    uint64_t mAge = 0;  ///< less is newer
+    uint64_t mAge = 0;  ///< lower is newer
     // clang-tidy 14 takes the 0 of a rewritten comparison for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     auto operator<=>(const Place&) const = default;
   };
   struct Item {
-    NewsKey mKey;
+    UpdateKey mKey;
     size_t mBytes = 0;
   };
 
   std::map<Place, Item> mOrder;
-  std::map<NewsKey, Place> mPlaces;
+  std::map<UpdateKey, Place> mPlaces;
   uint64_t mNextAge = UINT64_MAX;
   size_t mBytes = 0;
 };
--- a/src/librillwall_coordination/node_lifecycle.cpp
+++ b/src/librillwall_coordination/node_lifecycle.cpp
@@ -18,8 +18,8 @@
 struct BeginDrain {};
 struct EndDrain {};
 
-struct LifeDef : msm::front::state_machine_def<LifeDef> {
-  // In the order of NodePhase, which is the order of the table's states.
+struct LifecycleDef : msm::front::state_machine_def<LifecycleDef> {
+  // The order of the states in NodePhase.
   struct Starting : msm::front::state<> {};
   struct Ready : msm::front::state<> {};
   struct Isolated : msm::front::state<> {};
@@ -28,7 +28,7 @@
   using initial_state = Starting;
 
   // clang-format off
-  // NOLINTNEXTLINE(readability-identifier-naming): the name MSM looks for.
+  // NOLINTNEXTLINE(readability-identifier-naming): name required by MSM.
   struct transition_table : boost::mpl::vector<
       Row<Starting, Confirm,    Ready,    none, none>,
       Row<Ready,    Expire,     Isolated, none, none>,
@@ -39,14 +39,14 @@
       Row<Draining, EndDrain,   Stopped,  none, none>> {};
   // clang-format on
 
-  // An event that does not matter in the present state is no error.
+  // An event without a transition in the current state is ignored.
   template <class Machine, class Event>
   void no_transition(const Event&, Machine&, int) {}
 };
 
-using Machine = msm::back::state_machine<LifeDef>;
+using Machine = msm::back::state_machine<LifecycleDef>;
 
-// Position of a state in the machine is fixed by its table, not by us.
+// Boost.MSM numbers the states in the order in which the table mentions them.
 template <class State>
 constexpr int kStateId =
     msm::back::get_state_id<Machine::stt, State>::type::value;
@@ -61,13 +61,13 @@
 
 struct NodeLifecycle::Impl {
   Machine mMachine;
-  Millis mConfirmWithin;
+  Millis mConfirmationTimeout;
   Millis mConfirmedAt;
 };
 
-NodeLifecycle::NodeLifecycle(Millis aConfirmWithin)
+NodeLifecycle::NodeLifecycle(Millis aConfirmationTimeout)
     : mImpl(std::make_unique<Impl>()) {
-  mImpl->mConfirmWithin = aConfirmWithin;
+  mImpl->mConfirmationTimeout = aConfirmationTimeout;
   mImpl->mMachine.start();
 }
 
@@ -79,7 +79,7 @@
 }
 
 void NodeLifecycle::Tick(Millis aNow) {
-  if (aNow - mImpl->mConfirmedAt > mImpl->mConfirmWithin) {
+  if (aNow - mImpl->mConfirmedAt > mImpl->mConfirmationTimeout) {
     mImpl->mMachine.process_event(Expire{});
   }
 }
@@ -89,16 +89,16 @@
 
 NodePhase NodeLifecycle::Phase() const {
   const int state = mImpl->mMachine.current_state()[0];
-  if (state == kStateId<LifeDef::Ready>) {
+  if (state == kStateId<LifecycleDef::Ready>) {
     return NodePhase::Ready;
   }
-  if (state == kStateId<LifeDef::Isolated>) {
+  if (state == kStateId<LifecycleDef::Isolated>) {
     return NodePhase::Isolated;
   }
-  if (state == kStateId<LifeDef::Draining>) {
+  if (state == kStateId<LifecycleDef::Draining>) {
     return NodePhase::Draining;
   }
-  if (state == kStateId<LifeDef::Stopped>) {
+  if (state == kStateId<LifecycleDef::Stopped>) {
     return NodePhase::Stopped;
   }
   return NodePhase::Starting;
--- a/src/librillwall_coordination/node_lifecycle_test.cpp
+++ b/src/librillwall_coordination/node_lifecycle_test.cpp
@@ -4,8 +4,8 @@
 
 namespace rillwall {
 
-class NodeLifeTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(NodeLifeTest);
+class NodeLifecycleTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(NodeLifecycleTest);
   CPPUNIT_TEST(TestReadyOnlyWhenConfirmed);
   CPPUNIT_TEST(TestIsolatedAndBack);
   CPPUNIT_TEST(TestDrainIsFinal);
@@ -15,37 +15,37 @@
 
  public:
   void TestReadyOnlyWhenConfirmed() {
-    NodeLifecycle life(kWithin);
-    life.Tick(Millis(5000));
-    CPPUNIT_ASSERT(life.Phase() == NodePhase::Starting);
-    life.PolicyConfirmed(Millis(5000));
-    CPPUNIT_ASSERT(life.Phase() == NodePhase::Ready);
+    NodeLifecycle lifecycle(kWithin);
+    lifecycle.Tick(Millis(5000));
+    CPPUNIT_ASSERT(lifecycle.Phase() == NodePhase::Starting);
+    lifecycle.PolicyConfirmed(Millis(5000));
+    CPPUNIT_ASSERT(lifecycle.Phase() == NodePhase::Ready);
   }
 
   void TestIsolatedAndBack() {
-    NodeLifecycle life(kWithin);
-    life.PolicyConfirmed(Millis(0));
-    life.Tick(kWithin);
-    CPPUNIT_ASSERT(life.Phase() == NodePhase::Ready);
-    life.Tick(kWithin + Millis(1));
-    CPPUNIT_ASSERT(life.Phase() == NodePhase::Isolated);
-    life.PolicyConfirmed(Millis(2000));
-    CPPUNIT_ASSERT(life.Phase() == NodePhase::Ready);
+    NodeLifecycle lifecycle(kWithin);
+    lifecycle.PolicyConfirmed(Millis(0));
+    lifecycle.Tick(kWithin);
+    CPPUNIT_ASSERT(lifecycle.Phase() == NodePhase::Ready);
+    lifecycle.Tick(kWithin + Millis(1));
+    CPPUNIT_ASSERT(lifecycle.Phase() == NodePhase::Isolated);
+    lifecycle.PolicyConfirmed(Millis(2000));
+    CPPUNIT_ASSERT(lifecycle.Phase() == NodePhase::Ready);
   }
 
   void TestDrainIsFinal() {
-    NodeLifecycle life(kWithin);
-    life.Drained();
-    CPPUNIT_ASSERT(life.Phase() == NodePhase::Starting);
-    life.Drain();
-    life.PolicyConfirmed(Millis(0));
-    life.Tick(Millis(5000));
-    CPPUNIT_ASSERT(life.Phase() == NodePhase::Draining);
-    life.Drained();
-    CPPUNIT_ASSERT(life.Phase() == NodePhase::Stopped);
+    NodeLifecycle lifecycle(kWithin);
+    lifecycle.Drained();
+    CPPUNIT_ASSERT(lifecycle.Phase() == NodePhase::Starting);
+    lifecycle.Drain();
+    lifecycle.PolicyConfirmed(Millis(0));
+    lifecycle.Tick(Millis(5000));
+    CPPUNIT_ASSERT(lifecycle.Phase() == NodePhase::Draining);
+    lifecycle.Drained();
+    CPPUNIT_ASSERT(lifecycle.Phase() == NodePhase::Stopped);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NodeLifeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(NodeLifecycleTest);
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/peer_speed.cpp
+++ b/src/librillwall_coordination/peer_speed.cpp
@@ -6,37 +6,38 @@
 namespace rillwall {
 
 namespace {
-constexpr double kMemoryMs = 8000;
-constexpr double kEnoughMs = 1000;
-// A full batch slows a stream to about half without any fault.
-constexpr double kSlow = 0.6;
-constexpr double kLeastWeight = 0.05;
+constexpr double kDecayMs = 8000;
+constexpr double kMinSpanMs = 1000;
+// Share of the median below which an engine counts as slow. A full batch alone
+// halves the speed of a stream, without any fault.
+constexpr double kSlowThreshold = 0.6;
+constexpr double kMinWeight = 0.05;
 }  // namespace
 
-void StreamSpeed::Fade(Millis aNow) {
+void StreamSpeed::Decay(Millis aNow) {
   const double age = static_cast<double>((aNow - mAt).Count());
-  const double factor = std::exp(-std::max(age, 0.0) / kMemoryMs);
+  const double factor = std::exp(-std::max(age, 0.0) / kDecayMs);
   mTokens *= factor;
   mSpan *= factor;
   mAt = aNow;
 }
 
 void StreamSpeed::Add(int64_t aTokens, Millis aSpan, Millis aNow) {
-  Fade(aNow);
+  Decay(aNow);
   mTokens += static_cast<double>(aTokens);
   mSpan += static_cast<double>(aSpan.Count());
 }
 
 bool StreamSpeed::Known(Millis aNow) const {
   const double age = static_cast<double>((aNow - mAt).Count());
-  return mSpan * std::exp(-std::max(age, 0.0) / kMemoryMs) >= kEnoughMs;
+  return mSpan * std::exp(-std::max(age, 0.0) / kDecayMs) >= kMinSpanMs;
 }
 
 double SpeedWeight(double aSpeed, double aMedian) {
-  if (aMedian <= 0 || aSpeed >= aMedian * kSlow) {
+  if (aMedian <= 0 || aSpeed >= aMedian * kSlowThreshold) {
     return 1.0;
   }
-  return std::max(aSpeed / aMedian, kLeastWeight);
+  return std::max(aSpeed / aMedian, kMinWeight);
 }
 
 double Median(std::vector<double> aValues) {
--- a/src/librillwall_coordination/peer_speed.h
+++ b/src/librillwall_coordination/peer_speed.h
@@ -1,9 +1,10 @@
 /// \file
-/// Finding engines that are slow but not dead ("grey"): the tokens per second
-/// that one engine gives a stream, compared with the median of its peers.
+/// Detection of engines that are slow but not dead (gray failures): the tokens
+/// per second and stream of an engine are compared with the median of its
+/// peers.
 ///
-/// Evidence fades with time, so that an engine weighed down is tried again.
-/// Sans-IO and single-threaded.
+/// Samples decay with time, so an engine whose limit was lowered is tried
+/// again. Sans-IO and single-threaded.
 
 #pragma once
 
@@ -14,32 +15,32 @@
 
 namespace rillwall {
 
-/// Tokens per second of one engine's streams.
+/// Average tokens per second of one engine's streams, decayed over time.
 class StreamSpeed {
  public:
-  /// Tokens came for one stream.
-  /// \param aSpan since the stream's tokens before
+  /// Records tokens of one stream.
+  /// \param aSpan since the previous tokens of the stream
   void Add(int64_t aTokens, Millis aSpan, Millis aNow);
-  /// \return whether enough was seen lately to judge
+  /// \return whether there are enough recent samples for a comparison
   bool Known(Millis aNow) const;
-  /// \return tokens per second of one stream
+  /// \return tokens per second of a stream
   double PerSecond() const { return mSpan > 0 ? mTokens * 1000 / mSpan : 0; }
   void Clear() { *this = StreamSpeed(); }
 
  private:
-  void Fade(Millis aNow);
+  void Decay(Millis aNow);
 
   double mTokens = 0;
   double mSpan = 0;  ///< ms
   Millis mAt;
 };
 
-/// \return the share of its slots that an engine deserves, in (0, 1]
-/// \param aSpeed its tokens per second and stream
-/// \param aMedian of its peers; 0: not known
+/// \param aSpeed tokens per second and stream of the engine
+/// \param aMedian that of its peers; 0: not known
+/// \return the share of its slots that the engine should fill, in (0, 1]
 double SpeedWeight(double aSpeed, double aMedian);
 
-/// \return the median, or 0 of nothing
+/// \return the median, or 0 if there are no values
 double Median(std::vector<double> aValues);
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/prefix_affinity.cpp
+++ b/src/librillwall_coordination/prefix_affinity.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 constexpr uint64_t kPointsPerEngine = 24;
-constexpr double kMemoryMs = 10000;
+constexpr double kDecayMs = 10000;
 
-double Faded(double aCount, Millis aAge) {
-  return aCount * std::exp(-static_cast<double>(aAge.Count()) / kMemoryMs);
+double Decayed(double aCount, Millis aAge) {
+  return aCount * std::exp(-static_cast<double>(aAge.Count()) / kDecayMs);
 }
 }  // namespace
 
@@ -29,8 +29,8 @@
   std::sort(mPoints.begin(), mPoints.end());
 }
 
-size_t PrefixRing::Home(uint64_t aPrefix) const {
-  // Prefix hashes need not be spread evenly; the points are.
+size_t PrefixRing::FindHome(uint64_t aPrefix) const {
+  // Hashed again because prefix hashes are not necessarily uniform.
   const uint64_t hash = XXH3_64bits(&aPrefix, sizeof(aPrefix));
   const auto found =
       std::lower_bound(mPoints.begin(), mPoints.end(), Point{hash, 0});
@@ -39,22 +39,22 @@
 }
 
 double PrefixShares::Add(uint64_t aPrefix, Millis aNow) {
-  mAll.mCount = Faded(mAll.mCount, aNow - mAll.mAt) + 1;
-  mAll.mAt = aNow;
+  mTotal.mCount = Decayed(mTotal.mCount, aNow - mTotal.mAt) + 1;
+  mTotal.mAt = aNow;
   const uint64_t hash = XXH3_64bits(&aPrefix, sizeof(aPrefix));
   Entry& entry = mEntries[hash % kEntries];
-  entry.mCount = Faded(entry.mCount, aNow - entry.mAt);
+  entry.mCount = Decayed(entry.mCount, aNow - entry.mAt);
   entry.mAt = aNow;
   if (entry.mPrefix != aPrefix) {
-    // The more popular of two prefixes with the same place stays.
+    // Of two prefixes in the same entry the more popular one stays.
     if (entry.mCount > 1) {
       entry.mCount -= 1;
-      return 1 / mAll.mCount;
+      return 1 / mTotal.mCount;
     }
     entry = Entry{aPrefix, 0, aNow};
   }
   entry.mCount += 1;
-  return std::min(entry.mCount / mAll.mCount, 1.0);
+  return std::min(entry.mCount / mTotal.mCount, 1.0);
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/prefix_affinity.h
+++ b/src/librillwall_coordination/prefix_affinity.h
@@ -1,11 +1,11 @@
 /// \file
-/// Which engine is home to a prompt's prefix: consistent hashing, with the
-/// load bounded by its caller.
+/// Home engine of a prompt's prefix, by consistent hashing. The caller bounds
+/// the load.
 ///
-/// Every node that knows the same engines finds the same home, without
-/// exchange; a change of one engine moves only its own prefixes. A caller that
-/// finds the home too loaded takes the next engine of the ring. A prefix that
-/// is a large part of a node's calls has several homes.
+/// All nodes that know the same engines find the same home without any
+/// communication, and a change of one engine moves only its own prefixes. If
+/// the home is too loaded, the caller takes the next engine on the ring. A
+/// prefix that makes up a large part of a node's calls has several homes.
 /// Sans-IO and single-threaded.
 
 #pragma once
@@ -19,20 +19,20 @@
 
 namespace rillwall {
 
-/// The engines on a ring. Immutable once made.
+/// Hash ring of engines. Immutable.
 class PrefixRing {
  public:
   PrefixRing() = default;
-  /// \param aIds the engines' ids; results are indexes into it
+  /// \param aIds IDs of the engines; results are indexes into this vector
   explicit PrefixRing(const std::vector<std::string>& aIds);
 
-  /// Visits distinct engines from a prefix's home on.
-  /// \param aCount engines to visit at most
+  /// Visits distinct engines in ring order, starting at the home of a prefix.
+  /// \param aCount maximum number of engines to visit
   /// \param aTake bool(uint32_t index): whether to stop there
-  /// \return whether one was taken
+  /// \return whether an engine was taken
   template <class Take>
   bool Visit(uint64_t aPrefix, int aCount, Take&& aTake) const {
-    size_t place = Home(aPrefix);
+    size_t place = FindHome(aPrefix);
     uint32_t last = UINT32_MAX;
     for (size_t step = 0; step < mPoints.size() && aCount > 0; ++step) {
       const uint32_t index = mPoints[place].mIndex;
@@ -59,17 +59,17 @@
     }
   };
 
-  size_t Home(uint64_t aPrefix) const;
+  size_t FindHome(uint64_t aPrefix) const;
 
   std::vector<Point> mPoints;  ///< by hash
 };
 
-/// Which part of the recent calls each popular prefix makes up.
+/// Shares of the popular prefixes in the recent calls, decayed over time.
 class PrefixShares {
  public:
   /// Counts a call.
-  /// \return the part of recent calls that have its prefix, in (0, 1]; less
-  /// than the truth for rare prefixes
+  /// \return share of the recent calls that have its prefix, in (0, 1]. It is
+  /// underestimated for rare prefixes.
   double Add(uint64_t aPrefix, Millis aNow);
 
  private:
@@ -81,7 +81,7 @@
   static constexpr size_t kEntries = 512;
 
   std::array<Entry, kEntries> mEntries;
-  Entry mAll;
+  Entry mTotal;
 };
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/retry_budget.cpp
+++ b/src/librillwall_coordination/retry_budget.cpp
@@ -5,23 +5,25 @@
 namespace rillwall {
 
 namespace {
-// Saved up at most, so that a quiet hour does not pay for a burst of retries.
-constexpr double kMostSaved = 10;
-constexpr double kKeptForInteractive = 4;
-// Ten times a tenth is less than one in floating point.
-constexpr double kRounding = 1e-9;
+// Bounds the bucket, so that a quiet hour does not pay for a burst of retries.
+constexpr double kMaxBalance = 10;
+constexpr double kInteractiveReserve = 4;
+// In floating point, ten times 0.1 is less than 1.
+constexpr double kEpsilon = 1e-9;
 }  // namespace
 
-void RetryBudget::Earn() { mBalance = std::min(mBalance + mRatio, kMostSaved); }
+void RetryBudget::Deposit() {
+  mBalance = std::min(mBalance + mRatio, kMaxBalance);
+}
 
-bool RetryBudget::Draw(CallClass aClass) {
+bool RetryBudget::TryWithdraw(CallClass aClass) {
   const bool interactive = aClass == CallClass::Interactive;
-  const double least = interactive ? 1 : 1 + kKeptForInteractive;
-  if (mBalance + kRounding >= least) {
+  const double minBalance = interactive ? 1 : 1 + kInteractiveReserve;
+  if (mBalance + kEpsilon >= minBalance) {
     mBalance -= 1;
     return true;
   }
-  // A node that has just started may retry once before it has earned it.
+  // A node that has just started may retry once on credit.
   if (!mCreditUsed && mRatio > 0 && mBalance < 1) {
     mCreditUsed = true;
     mBalance -= 1;
--- a/src/librillwall_coordination/retry_budget.h
+++ b/src/librillwall_coordination/retry_budget.h
@@ -1,10 +1,11 @@
 /// \file
-/// One node's budget of retries: a token bucket that first calls fill by a
-/// ratio and retries draw from.
+/// Retry budget of one node: a token bucket to which each first attempt adds a
+/// fraction of a token and from which each retry takes one.
 ///
-/// Over a node's life, retries are at most the ratio of its first calls (one
-/// is granted on credit during the first few). The last part of the bucket is
-/// kept for interactive calls. Sans-IO, single-threaded.
+/// Over the lifetime of a node, retries are at most the given ratio of first
+/// attempts. One retry is granted on credit during the first few attempts. The
+/// last part of the bucket is reserved for interactive calls. Sans-IO and
+/// single-threaded.
 
 #pragma once
 
@@ -14,18 +15,20 @@
 
 namespace rillwall {
 
+/// Token bucket of retries.
 class RetryBudget {
  public:
-  /// \param aRatio retries per first call
+  /// \param aRatio retries per first attempt
   explicit RetryBudget(double aRatio) : mRatio(aRatio) {}
 
-  /// A first call was started.
-  void Earn();
-  /// \return whether a retry may go ahead; it is then drawn
-  bool Draw(CallClass aClass);
-  /// \return retries that could be drawn now
+  /// Adds the share of one first attempt.
+  void Deposit();
+  /// Takes one retry from the budget if it allows that.
+  /// \return whether the retry may be made
+  bool TryWithdraw(CallClass aClass);
+  /// \return retries in the bucket
   double Balance() const { return mBalance; }
-  /// \return retries refused so far
+  /// \return number of retries denied so far
   uint64_t Denied() const { return mDenied; }
 
  private:
--- a/src/librillwall_coordination/router.cpp
+++ b/src/librillwall_coordination/router.cpp
@@ -9,8 +9,8 @@
 namespace {
 constexpr int kDrawsPerChoice = 3;
 constexpr int kPrefixTries = 3;
-constexpr Millis kInteractiveProbeAfter{5000};
-constexpr double kLastResort = 1000;
+constexpr Millis kInteractiveProbeDelay{5000};
+constexpr double kLastResortScore = 1000;
 
 size_t ClassIndex(CallClass aClass) {
   return aClass == CallClass::Interactive ? 0 : 1;
@@ -57,8 +57,8 @@
     mZoneOf.push_back(static_cast<uint32_t>(zone - mZones.begin()));
   }
   for (ZoneGroup& zone : mZones) {
-    for (IndexSet& roomy : zone.mRoomy) {
-      roomy.Resize(mEngines.size());
+    for (IndexSet& withFreeSlots : zone.mWithFreeSlots) {
+      withFreeSlots.Resize(mEngines.size());
     }
   }
   std::vector<std::string> ids;
@@ -81,14 +81,14 @@
 }
 
 void EnginePool::Refresh(const EngineState& aEngine, Millis aNow) {
-  if (!Has(aEngine)) {
+  if (!HasEngine(aEngine)) {
     return;
   }
   const uint32_t index = aEngine.Index();
   ZoneGroup& zone = mZones[mZoneOf[index]];
   for (const CallClass kind : {CallClass::Interactive, CallClass::Training}) {
-    zone.mRoomy[ClassIndex(kind)].Set(index,
-                                      aEngine.Room(kind, mPrior, aNow) > 0);
+    zone.mWithFreeSlots[ClassIndex(kind)].Set(
+        index, aEngine.FreeSlotCount(kind, mPrior, aNow) > 0);
   }
 }
 
@@ -99,7 +99,7 @@
   std::vector<double> speeds;
   for (const EngineState* engine : mEngines) {
     if (engine->HasReport()) {
-      others += engine->Others(mPrior, aNow);
+      others += engine->OtherLoad(mPrior, aNow);
       ++reported;
     }
     load += engine->Load(mPrior, aNow);
@@ -112,19 +112,19 @@
   mMeanLoad = load / static_cast<double>(engines);
   const double median = Median(std::move(speeds));
   for (EngineState* engine : mEngines) {
-    engine->WeighAgainst(median, aNow);
+    engine->UpdateSpeedWeight(median, aNow);
   }
 }
 
 void EnginePool::RefreshAll(Millis aNow) {
   RefreshMeans(aNow);
   for (ZoneGroup& zone : mZones) {
-    zone.mNewest = 0;
+    zone.mNewestVersion = 0;
   }
   for (const EngineState* engine : mEngines) {
     if (engine->Usable(aNow)) {
-      int64_t& newest = mZones[mZoneOf[engine->Index()]].mNewest;
-      newest = std::max(newest, engine->Reported().mVersion);
+      int64_t& newest = mZones[mZoneOf[engine->Index()]].mNewestVersion;
+      newest = std::max(newest, engine->LastReport().mVersion);
     }
     Refresh(*engine, aNow);
   }
@@ -139,14 +139,15 @@
   if (aSpec.mMinVersion <= 0) {
     return 0;
   }
-  const bool known =
+  const bool available =
       std::any_of(mZones.begin(), mZones.end(), [&](const ZoneGroup& aZone) {
-        return aZone.mNewest >= aSpec.mMinVersion && ZoneAllowed(aSpec, aZone);
+        return aZone.mNewestVersion >= aSpec.mMinVersion &&
+               ZoneAllowed(aSpec, aZone);
       });
-  if (!known || aSpec.mAvoid.empty()) {
-    return known ? aSpec.mMinVersion : 0;
+  if (!available || aSpec.mAvoid.empty()) {
+    return available ? aSpec.mMinVersion : 0;
   }
-  // The engines that have it may be just those that failed this call.
+  // All engines that have the version may be ones that failed this call.
   const bool left =
       std::any_of(mEngines.begin(), mEngines.end(), [&](EngineState* aEngine) {
         return aEngine->Usable(aNow) &&
@@ -158,7 +159,7 @@
 
 bool EnginePool::Eligible(const CallSpec& aSpec, int64_t aVersion,
                           const EngineState& aEngine) const {
-  if (aEngine.Reported().mVersion < aVersion) {
+  if (aEngine.LastReport().mVersion < aVersion) {
     return false;
   }
   return aSpec.mAvoid.empty() || !Contains(aSpec.mAvoid, aEngine.Info().mId);
@@ -175,41 +176,43 @@
                          Millis aNow) const {
   const Breaker& breaker = aEngine.Circuit();
   if (breaker.State() != BreakerState::Closed) {
-    // Training calls probe; interactive ones only where none has for long.
+    // Training calls probe first. Interactive ones probe only if no training
+    // call has done so for a while.
     const bool probe = aSpec.mClass == CallClass::Training ||
-                       aNow - breaker.NextProbe() >= kInteractiveProbeAfter;
-    return probe ? 0 : kLastResort;
+                       aNow - breaker.NextProbe() >= kInteractiveProbeDelay;
+    return probe ? 0 : kLastResortScore;
   }
-  const double awaiting =
-      static_cast<double>(aEngine.Awaiting()) * mTuning->mAwaitingWeight;
+  const double awaiting = static_cast<double>(aEngine.AwaitingFirstToken()) *
+                          mTuning->mAwaitingWeight;
   const double load = aEngine.Load(mPrior, aNow) + awaiting + 1;
   const double used = load / aEngine.Limit(CallClass::Interactive, aNow);
-  const bool near = aEngine.Info().mZone == mZone;
-  return near ? used : used + mTuning->mZonePenalty;
+  const bool sameZone = aEngine.Info().mZone == mZone;
+  return sameZone ? used : used + mTuning->mZonePenalty;
 }
 
 EngineState* EnginePool::Choose(const CallSpec& aSpec, std::mt19937_64& aRandom,
                                 Millis aNow) {
-  if (!AnyRoom(aSpec.mClass)) {
+  if (!AnyFreeSlot(aSpec.mClass)) {
     return nullptr;
   }
   const int64_t version = RequiredVersion(aSpec, aNow);
   Candidate best;
-  Sample(aSpec, version, aRandom, aNow, best);
+  OfferRandomEngines(aSpec, version, aRandom, aNow, best);
   if (!best.mEngine) {
-    Scan(aSpec, version, aNow, best);
+    OfferAllEngines(aSpec, version, aNow, best);
   }
   if (best.mEngine && aSpec.mPrefixHash != 0) {
-    OfferPrefixHome(aSpec, version, aRandom, aNow, best);
+    OfferPrefixHomes(aSpec, version, aRandom, aNow, best);
   }
   return best.mEngine;
 }
 
-void EnginePool::Sample(const CallSpec& aSpec, int64_t aVersion,
-                        std::mt19937_64& aRandom, Millis aNow,
-                        Candidate& aBest) const {
+void EnginePool::OfferRandomEngines(const CallSpec& aSpec, int64_t aVersion,
+                                    std::mt19937_64& aRandom, Millis aNow,
+                                    Candidate& aBest) const {
   for (const ZoneGroup& zone : mZones) {
-    const auto& members = zone.mRoomy[ClassIndex(aSpec.mClass)].Members();
+    const auto& members =
+        zone.mWithFreeSlots[ClassIndex(aSpec.mClass)].Members();
     if (members.empty() || !ZoneAllowed(aSpec, zone)) {
       continue;
     }
@@ -225,13 +228,14 @@
   }
 }
 
-void EnginePool::Scan(const CallSpec& aSpec, int64_t aVersion, Millis aNow,
-                      Candidate& aBest) const {
+void EnginePool::OfferAllEngines(const CallSpec& aSpec, int64_t aVersion,
+                                 Millis aNow, Candidate& aBest) const {
   for (const ZoneGroup& zone : mZones) {
     if (!ZoneAllowed(aSpec, zone)) {
       continue;
     }
-    const auto& members = zone.mRoomy[ClassIndex(aSpec.mClass)].Members();
+    const auto& members =
+        zone.mWithFreeSlots[ClassIndex(aSpec.mClass)].Members();
     for (const uint32_t index : members) {
       EngineState* engine = mEngines[index];
       if (engine->Usable(aNow) && Eligible(aSpec, aVersion, *engine)) {
@@ -241,21 +245,21 @@
   }
 }
 
-void EnginePool::OfferPrefixHome(const CallSpec& aSpec, int64_t aVersion,
-                                 std::mt19937_64& aRandom, Millis aNow,
-                                 Candidate& aBest) {
+void EnginePool::OfferPrefixHomes(const CallSpec& aSpec, int64_t aVersion,
+                                  std::mt19937_64& aRandom, Millis aNow,
+                                  Candidate& aBest) {
   const double part = mPrefixShares.Add(aSpec.mPrefixHash, aNow);
   const double even = part * static_cast<double>(mEngines.size());
   const auto homes = static_cast<uint64_t>(
-      mTuning->mPrefixHomes ? std::max(std::ceil(even), 1.0) : 1.0);
+      mTuning->mMultiplePrefixHomes ? std::max(std::ceil(even), 1.0) : 1.0);
   auto skip = homes > 1 ? static_cast<int>(aRandom() % homes) : 0;
-  const double bound = mMeanLoad * mTuning->mPrefixBound + 1;
+  const double bound = mMeanLoad * mTuning->mPrefixLoadBound + 1;
   mRing.Visit(aSpec.mPrefixHash, skip + kPrefixTries, [&](uint32_t aIndex) {
     if (skip-- > 0) {
       return false;
     }
     EngineState* engine = mEngines[aIndex];
-    const bool fits = engine->Room(aSpec.mClass, mPrior, aNow) > 0 &&
+    const bool fits = engine->FreeSlotCount(aSpec.mClass, mPrior, aNow) > 0 &&
                       engine->Load(mPrior, aNow) <= bound &&
                       ZoneAllowed(aSpec, mZones[mZoneOf[aIndex]]) &&
                       Eligible(aSpec, aVersion, *engine);
@@ -267,7 +271,7 @@
 }
 
 bool EnginePool::AnyUsable(const CallSpec& aSpec, Millis aNow) const {
-  // Without a version: one is preferred only while an engine has it.
+  // The version is ignored: it is only required while an engine has it.
   return std::any_of(
       mEngines.begin(), mEngines.end(), [&](const EngineState* aEngine) {
         const ZoneGroup& zone = mZones[mZoneOf[aEngine->Index()]];
@@ -280,11 +284,12 @@
   return AnyUsable(CallSpec(), aNow);
 }
 
-bool EnginePool::AnyRoom(CallClass aClass) const {
+bool EnginePool::AnyFreeSlot(CallClass aClass) const {
   return std::any_of(mZones.begin(), mZones.end(),
                      [aClass](const ZoneGroup& aZone) {
-                       const IndexSet& roomy = aZone.mRoomy[ClassIndex(aClass)];
-                       return !roomy.Members().empty();
+                       const IndexSet& withFreeSlots =
+                           aZone.mWithFreeSlots[ClassIndex(aClass)];
+                       return !withFreeSlots.Members().empty();
                      });
 }
 
@@ -299,11 +304,11 @@
 }
 
 int64_t EnginePool::FreeTrainingSlots(Millis aNow) const {
-  int64_t room = 0;
+  int64_t freeSlots = 0;
   for (const EngineState* engine : mEngines) {
-    room += engine->Room(CallClass::Training, mPrior, aNow);
+    freeSlots += engine->FreeSlotCount(CallClass::Training, mPrior, aNow);
   }
-  return room;
+  return freeSlots;
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/router.h
+++ b/src/librillwall_coordination/router.h
@@ -1,9 +1,9 @@
 /// \file
 /// The engines of one model on one node, and the choice among them.
 ///
-/// Engines with room are indexed by zone and call class, so that a choice
-/// looks at a few of them, drawn at random, and takes the one with the lowest
-/// score. Sans-IO and single-threaded; randomness comes from the caller.
+/// Engines with free slots are indexed by zone and call class. A choice
+/// compares a few random ones and takes the one with the lowest score. Sans-IO
+/// and single-threaded; the caller passes the random engine.
 
 #pragma once
 
@@ -22,7 +22,8 @@
 
 namespace rillwall {
 
-/// A set of small indexes with constant-time change and random access.
+/// Set of small indexes with constant-time insertion, removal and random
+/// access.
 class IndexSet {
  public:
   void Resize(size_t aCount);
@@ -35,54 +36,58 @@
   std::vector<uint32_t> mPlaces;
 };
 
+/// The engines of one model.
 class EnginePool {
  public:
-  /// \param aZone the node's own zone
+  /// \param aZone the zone of the node
   /// \param aTuning must outlive the pool
   EnginePool(std::string aZone, const DispatchTuning& aTuning)
       : mZone(std::move(aZone)), mTuning(&aTuning) {}
 
-  /// Takes the engines; they must outlive the pool or the next call of this.
+  /// Replaces the engines, which must outlive the pool or stay valid until the
+  /// next call of this function.
   void SetEngines(std::vector<EngineState*> aEngines, Millis aNow);
   const std::vector<EngineState*>& Engines() const { return mEngines; }
-  bool Has(const EngineState& aEngine) const {
+  bool HasEngine(const EngineState& aEngine) const {
     const uint32_t index = aEngine.Index();
     return index < mEngines.size() && mEngines[index] == &aEngine;
   }
 
-  /// Brings the index up to date with one engine.
+  /// Updates the index for one engine.
   void Refresh(const EngineState& aEngine, Millis aNow);
-  /// Brings the index up to date with all engines, as reports age.
+  /// Updates the index for all engines. Needed regularly because reports age.
   void RefreshAll(Millis aNow);
 
-  /// \return an engine with room for the call, or nullptr
+  /// \return an engine with a free slot for the call, or nullptr
   EngineState* Choose(const CallSpec& aSpec, std::mt19937_64& aRandom,
                       Millis aNow);
-  /// \return whether any engine that the call may use takes calls at all
+  /// \return whether any engine that the call may use is usable now
   bool AnyUsable(const CallSpec& aSpec, Millis aNow) const;
-  /// \return whether any engine has room for calls of this class
-  bool AnyRoom(CallClass aClass) const;
-  /// \return whether a call may go to an engine, room aside
+  /// \return whether any engine has a free slot for calls of this class
+  bool AnyFreeSlot(CallClass aClass) const;
+  /// \return whether the zones, weight version and exclusions of a call allow
+  /// an engine, whatever its free slots
   bool Allowed(const CallSpec& aSpec, const EngineState& aEngine,
                Millis aNow) const;
-  /// \return whether any engine takes calls at all
+  /// \return whether any engine is usable now
   bool AnyUsable(Millis aNow) const;
-  /// \return the instant when the first open breaker lets a probe through
+  /// \return the time when the first open breaker lets a probe through
   Millis NextProbe(Millis aNow) const;
   /// \return free slots for training calls
   int64_t FreeTrainingSlots(Millis aNow) const;
-  /// \return load of others to expect of an engine without a fresh report
+  /// \return expected load of other nodes at an engine without a fresh report
   double Prior() const { return mPrior; }
 
  private:
   static constexpr size_t kClasses = 2;
+  /// The engines of one zone.
   struct ZoneGroup {
     std::string mName;
-    std::array<IndexSet, kClasses> mRoomy;
-    int64_t mNewest = 0;  ///< weight version of the usable engines
+    std::array<IndexSet, kClasses> mWithFreeSlots;
+    int64_t mNewestVersion = 0;  ///< of the weights of usable engines
   };
 
-  /// The best engine found so far.
+  /// The engine with the lowest score so far.
   struct Candidate {
     EngineState* mEngine = nullptr;
     double mScore = 0;
@@ -90,19 +95,26 @@
   };
 
   bool ZoneAllowed(const CallSpec& aSpec, const ZoneGroup& aZone) const;
-  /// \return the version that the call's engine must have; 0: any
+  /// \return the minimum weight version that the engine of a call must have; 0:
+  /// any, if no allowed engine has the requested one
   int64_t RequiredVersion(const CallSpec& aSpec, Millis aNow) const;
   bool Eligible(const CallSpec& aSpec, int64_t aVersion,
                 const EngineState& aEngine) const;
-  /// The lower, the better.
+  /// \return the score of an engine for a call; lower is better
   double Score(const CallSpec& aSpec, const EngineState& aEngine,
                Millis aNow) const;
-  void Sample(const CallSpec& aSpec, int64_t aVersion, std::mt19937_64& aRandom,
-              Millis aNow, Candidate& aBest) const;
-  void Scan(const CallSpec& aSpec, int64_t aVersion, Millis aNow,
-            Candidate& aBest) const;
-  void OfferPrefixHome(const CallSpec& aSpec, int64_t aVersion,
-                       std::mt19937_64& aRandom, Millis aNow, Candidate& aBest);
+  /// Offers a few random engines with free slots of each allowed zone.
+  void OfferRandomEngines(const CallSpec& aSpec, int64_t aVersion,
+                          std::mt19937_64& aRandom, Millis aNow,
+                          Candidate& aBest) const;
+  /// Offers all engines with free slots in the allowed zones.
+  void OfferAllEngines(const CallSpec& aSpec, int64_t aVersion, Millis aNow,
+                       Candidate& aBest) const;
+  /// Offers a home engine of the call's prefix, with a bonus.
+  void OfferPrefixHomes(const CallSpec& aSpec, int64_t aVersion,
+                        std::mt19937_64& aRandom, Millis aNow,
+                        Candidate& aBest);
+  /// Updates the mean loads and the speed weights.
   void RefreshMeans(Millis aNow);
 
   std::string mZone;
--- a/src/librillwall_coordination/wait_estimate.cpp
+++ b/src/librillwall_coordination/wait_estimate.cpp
@@ -6,14 +6,14 @@
 namespace rillwall {
 
 namespace {
-constexpr double kMemoryMs = 4000;
-constexpr double kLeastAgeMs = 200;
-constexpr double kLeastRate = 1e-9;
-constexpr double kLongestWaitMs = 3600e3;
+constexpr double kDecayMs = 4000;
+constexpr double kMinAgeMs = 200;
+constexpr double kMinRate = 1e-9;
+constexpr double kMaxWaitMs = 3600e3;
 constexpr double kSmoothing = 0.05;
 
 double Decay(Millis aSpan) {
-  return std::exp(-static_cast<double>(aSpan.Count()) / kMemoryMs);
+  return std::exp(-static_cast<double>(aSpan.Count()) / kDecayMs);
 }
 }  // namespace
 
@@ -27,23 +27,24 @@
 
 void WaitEstimate::Ended(Millis aSpan) {
   const auto span = static_cast<double>(aSpan.Count());
-  mUsualMs += (span - mUsualMs) * (mUsualMs == 0 ? 1 : kSmoothing);
+  mMeanRunMs += (span - mMeanRunMs) * (mMeanRunMs == 0 ? 1 : kSmoothing);
 }
 
 double WaitEstimate::StartRate(Millis aNow) const {
   const double age = static_cast<double>((aNow - mFirst).Count());
-  // The memory is not full yet just after the first start.
-  const double filled = 1 - std::exp(-std::max(age, kLeastAgeMs) / kMemoryMs);
-  return mStarts * Decay(aNow - mLast) / (kMemoryMs * filled);
+  // Shortly after the first start the decayed count covers only a part of the
+  // decay time.
+  const double filled = 1 - std::exp(-std::max(age, kMinAgeMs) / kDecayMs);
+  return mStarts * Decay(aNow - mLast) / (kDecayMs * filled);
 }
 
 Millis WaitEstimate::Wait(double aAhead, int64_t aInFlight, Millis aNow) const {
-  if (mUsualMs == 0) {
+  if (mMeanRunMs == 0) {
     return Millis(0);
   }
-  const double turnover = static_cast<double>(aInFlight) / mUsualMs;
-  const double rate = std::max({StartRate(aNow), turnover, kLeastRate});
-  const double wait = std::min(aAhead / rate, kLongestWaitMs);
+  const double turnover = static_cast<double>(aInFlight) / mMeanRunMs;
+  const double rate = std::max({StartRate(aNow), turnover, kMinRate});
+  const double wait = std::min(aAhead / rate, kMaxWaitMs);
   return Millis(static_cast<int64_t>(wait));
 }
 
--- a/src/librillwall_coordination/wait_estimate.h
+++ b/src/librillwall_coordination/wait_estimate.h
@@ -1,9 +1,9 @@
 /// \file
-/// How long a queued call of one class will wait for its start.
+/// Estimate of the time until a queued call of one class starts.
 ///
-/// Two views of the rate of starts are kept, and the greater is believed: the
-/// starts seen lately, which is right in a lasting queue, and the calls in
-/// flight over their usual time, which is right at once in a burst.
+/// The greater of two estimates of the start rate is used: the rate of recent
+/// starts, which is accurate for a lasting queue, and the calls in flight
+/// divided by their mean run time, which is accurate at once in a burst.
 /// Sans-IO and single-threaded.
 
 #pragma once
@@ -14,23 +14,27 @@
 
 namespace rillwall {
 
+/// Estimates the wait in the queue of one call class.
 class WaitEstimate {
  public:
+  /// Records the start of a call.
   void Started(Millis aNow);
-  /// A call ended that had been running for a span.
+  /// Records the end of a call.
+  /// \param aSpan time that the call ran
   void Ended(Millis aSpan);
-  /// \param aAhead calls that go first
+  /// \param aAhead calls that start first
   /// \param aInFlight calls of this class that run now
-  /// \return the wait expected; zero while nothing is known
+  /// \return the expected wait; 0 while nothing is known
   Millis Wait(double aAhead, int64_t aInFlight, Millis aNow) const;
 
  private:
+  /// \return recent starts per millisecond
   double StartRate(Millis aNow) const;
 
   Millis mFirst;
   Millis mLast;
-  double mStarts = 0;   ///< decayed exponentially
-  double mUsualMs = 0;  ///< that a call runs; 0: not known
+  double mStarts = 0;     ///< count of starts, decayed exponentially
+  double mMeanRunMs = 0;  ///< moving average of run times; 0: not known
 };
 
 }  // namespace rillwall
