--- a/src/librillwall_coordination/breaker_test.cpp
+++ b/src/librillwall_coordination/breaker_test.cpp
@@ -13,10 +13,10 @@
   CPPUNIT_TEST(OpensAfterFailuresInARow);
   CPPUNIT_TEST(LetsOneProbeThrough);
   CPPUNIT_TEST(WaitsLongerAfterEachFailedProbe);
-  CPPUNIT_TEST(IgnoresLateNews);
+  CPPUNIT_TEST(IgnoresLateSuccess);
   CPPUNIT_TEST(StartsSlowly);
   CPPUNIT_TEST(BudgetBoundsRetries);
-  CPPUNIT_TEST(BudgetKeepsSomeForInteractive);
+  CPPUNIT_TEST(BudgetReservesRetriesForInteractive);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -62,7 +62,7 @@
     }
   }
 
-  void IgnoresLateNews() {
+  void IgnoresLateSuccess() {
     Fail(3);
     mNow += mLimits.mOpenTime;
     mBreaker.Started(2, mNow);
@@ -81,8 +81,8 @@
                          mBreaker.SlowStartShare(mNow + mLimits.mSlowStart));
   }
 
-  /// Every other call fails, and its retry too: attempts per call stay under
-  /// 1.1 at any time after the first ten calls.
+  /// Every other call fails, and so do its retries. Attempts per call must stay
+  /// below 1.1 after the first ten calls.
   void BudgetBoundsRetries() {
     RetryBudget budget(0.1);
     int retries = 0;
@@ -97,7 +97,7 @@
     CPPUNIT_ASSERT(retries >= 990);
   }
 
-  void BudgetKeepsSomeForInteractive() {
+  void BudgetReservesRetriesForInteractive() {
     RetryBudget budget(0.1);
     for (int calls = 0; calls < 1000; ++calls) {
       budget.Deposit();
--- a/src/librillwall_coordination/dispatcher_bench.cpp
+++ b/src/librillwall_coordination/dispatcher_bench.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The cost of the dispatcher's steps at 600 engines.
+/// Processor time of the dispatcher's steps at 600 engines.
 
 #include <benchmark/benchmark.h>
 
@@ -16,7 +16,7 @@
 constexpr size_t kZones = 12;
 constexpr int64_t kSlots = 64;
 
-/// A node that knows 600 engines in 12 zones, half used by others.
+/// Node that knows 600 engines in 12 zones, half used by other nodes.
 struct LargePool {
   LargePool() : mDispatcher("zone0", DispatcherLimits(), 1) {
     std::vector<Upstream> engines;
@@ -44,8 +44,9 @@
             .mExpectedTokens = 100};
   }
 
-  /// Submits, streams and ends calls; every 20 ms of 3,300 calls a second
-  /// over 370 nodes, a tick falls on every fifth of a call.
+  /// Submits, streams and ends one call without a tick. At 3,300 calls/s over
+  /// 370 nodes and one tick per 20 ms, a node handles a fifth of a call per
+  /// tick.
   void Cycle(const CallSpec& aSpec) {
     const auto decisions = mDispatcher.Submit(aSpec, mNow);
     benchmark::DoNotOptimize(decisions.data());
@@ -76,7 +77,7 @@
 }
 BENCHMARK(DecisionPrefix);
 
-/// One engine in twenty has the version: few samples hit one.
+/// One engine in twenty has the version, so random draws rarely find one.
 void DecisionMinVersion(benchmark::State& aState) {
   LargePool pool;
   for (auto _ : aState) {
@@ -98,7 +99,7 @@
 }
 BENCHMARK(DecisionZonesAndAvoid);
 
-/// All slots taken: calls queue or are refused at once.
+/// All slots are in use: calls are queued or refused at once.
 void DecisionOverloaded(benchmark::State& aState) {
   LargePool pool;
   for (size_t call = 0; call < kEngines * kSlots; ++call) {
--- a/src/librillwall_coordination/dispatcher_compare_bench.cpp
+++ b/src/librillwall_coordination/dispatcher_compare_bench.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// What each mechanism of the dispatcher brings, in small simulations
-/// (dispatcher_fakes.h). A comparison runs the product and a variant, random
-/// routing or the product without one mechanism, in one run with the same
-/// seeds. Ratios are the variant's value over the product's.
+/// Effect of each mechanism of the dispatcher in the simulations of
+/// dispatcher_fakes.h. A comparison runs the product and a variant with the
+/// same seeds; the variant is random routing or the product without one
+/// mechanism. Ratios are the variant's value divided by the product's.
 
 #include <benchmark/benchmark.h>
 
@@ -22,7 +22,7 @@
 using fakes::Scenario;
 using Engines = std::vector<FakeEngine>;
 
-/// What is added over the seeds of a comparison.
+/// Sums over the seeds of a comparison.
 struct Sums {
   double mFirstToken50 = 0;
   double mFirstToken90 = 0;
@@ -64,7 +64,7 @@
   return sums;
 }
 
-/// One scenario and one change to it.
+/// A scenario and the change that makes the variant.
 struct Comparison {
   const char* mName;
   Scenario mScenario;
@@ -144,7 +144,7 @@
   }};
 }
 
-Scenario Grey() {
+Scenario GrayFailure() {
   return {.mDuration = Millis(240000),
           .mTrainingTokens = 200,
           .mFaults = [](Engines& aEngines, Millis aNow) {
@@ -162,7 +162,7 @@
           }};
 }
 
-Scenario ComeBack() {
+Scenario Recovery() {
   return {.mFaults = [](Engines& aEngines, Millis aNow) {
     const bool dead = aNow > Millis(20000) && aNow < Millis(35000);
     for (size_t index = 0; index < aEngines.size(); index += 4) {
@@ -188,18 +188,18 @@
           .mPrefillMs = 600};
 }
 
-Scenario TwoHouses() {
+Scenario TwoAccounts() {
   return {
       .mCallsPerSecond = 120, .mModestShare = 1.0 / 11, .mTrainingTokens = 0};
 }
 
-// Changes.
+// Changes that make a variant.
 
 void RandomRouting(Scenario& aScenario) {
   aScenario.mRouting = Routing::Random;
 }
 
-/// \return a change of one of the constants
+/// \return a change of one tuning parameter
 template <class Value>
 std::function<void(Scenario&)> Tuned(Value DispatchTuning::*aMember,
                                      Value aValue) {
@@ -218,9 +218,9 @@
       {"random/fresh", Fresh(), RandomRouting},
       {"random/unequal", Unequal(), RandomRouting},
       {"random/short", ShortOfSlots(false), RandomRouting},
-      {"random/grey", Grey(), RandomRouting},
+      {"random/grey", GrayFailure(), RandomRouting},
       {"random/half_dead", HalfDead(), RandomRouting},
-      {"random/come_back", ComeBack(), RandomRouting},
+      {"random/come_back", Recovery(), RandomRouting},
   };
 }
 
@@ -259,8 +259,8 @@
          aScenario.mTuning.mPrefixLoadBound = 100;
          aScenario.mTuning.mMultiplePrefixHomes = false;
        }},
-      {"no_speed_weight/grey", Grey(), Tuned(&T::mWeightBySpeed, false)},
-      {"no_moving/grey", Grey(), Tuned(&T::mMoveTraining, false)},
+      {"no_speed_weight/grey", GrayFailure(), Tuned(&T::mWeightBySpeed, false)},
+      {"no_moving/grey", GrayFailure(), Tuned(&T::mMoveTraining, false)},
   };
 }
 
@@ -289,11 +289,11 @@
       {"no_preemption/subsets", Subsets(), Tuned(&T::mPreemptAfter, Millis(0))},
       {"no_early_refusal/overloaded", Overloaded(),
        Tuned(&T::mRefuseEarly, false)},
-      {"one_queue/two_houses", TwoHouses(),
+      {"one_queue/two_houses", TwoAccounts(),
        [](Scenario& aScenario) { aScenario.mOneQueue = true; }},
       {"no_retry_budget/half_dead", HalfDead(),
        [](Scenario& aScenario) { aScenario.mLimits.mRetryRatio = 10; }},
-      {"no_slow_start/come_back", ComeBack(), Tuned(&T::mSlowStart, Millis(1))},
+      {"no_slow_start/come_back", Recovery(), Tuned(&T::mSlowStart, Millis(1))},
   };
 }
 
--- a/src/librillwall_coordination/dispatcher_fake_engine.h
+++ b/src/librillwall_coordination/dispatcher_fake_engine.h
@@ -1,6 +1,6 @@
 /// \file
-/// A small fake of a model engine, for measuring the dispatcher's decisions in
-/// one process and in simulated time.
+/// Fake model engine for measuring the dispatcher's decisions in one process
+/// and in simulated time.
 
 #pragma once
 
@@ -15,6 +15,7 @@
 
 namespace rillwall::fakes {
 
+/// Step of the simulated time.
 inline constexpr Millis kStep{10};
 
 /// One call at an engine.
@@ -28,7 +29,7 @@
   double mUnsent = 0;
 };
 
-/// What an engine did for a stream in a step.
+/// Progress of one stream in a step.
 struct FakeEvent {
   uint64_t mTicket = 0;
   size_t mNode = 0;
@@ -36,20 +37,22 @@
   bool mDone = false;
 };
 
-/// Batches continuously; calls over its slots wait, interactive ones first.
+/// Engine with continuous batching. Calls beyond its slots wait, interactive
+/// ones first.
 class FakeEngine {
  public:
   std::string mId;
   std::string mZone;
-  int64_t mSlots = 16;      ///< as reported
-  int64_t mRealSlots = 16;  ///< as its memory allows
+  int64_t mSlots = 16;      ///< slots in its reports
+  int64_t mRealSlots = 16;  ///< slots that its memory allows
   double mSpeed = 1;
   bool mHidesWaiting = false;  ///< reports no calls waiting
   bool mDead = false;          ///< fails every call
-  bool mFrozen = false;        ///< takes calls and does nothing
-  uint64_t mHits = 0;
+  bool mFrozen = false;        ///< accepts calls but makes no progress
+  uint64_t mHits = 0;          ///< of the prefix cache
   uint64_t mMisses = 0;
 
+  /// \return whether the call was accepted
   bool Add(FakeStream aStream) {
     constexpr size_t kMaxWaiting = 128;
     if (mDead || mWaiting.size() >= kMaxWaiting) {
@@ -59,13 +62,14 @@
     const auto behind = [](const FakeStream& aOther) {
       return aOther.mClass == CallClass::Training;
     };
-    const auto place =
+    const auto position =
         first ? std::find_if(mWaiting.begin(), mWaiting.end(), behind)
               : mWaiting.end();
-    mWaiting.insert(place, aStream);
+    mWaiting.insert(position, aStream);
     return true;
   }
 
+  /// \return whether the call was there
   bool Remove(uint64_t aTicket) {
     const auto same = [aTicket](const FakeStream& aStream) {
       return aStream.mTicket == aTicket;
@@ -73,7 +77,8 @@
     return std::erase_if(mRunning, same) + std::erase_if(mWaiting, same) > 0;
   }
 
-  /// Fails: \return the streams cut
+  /// Stops the engine.
+  /// \return the streams that were interrupted
   std::vector<FakeStream> Crash() {
     std::vector<FakeStream> cut = mRunning;
     cut.insert(cut.end(), mWaiting.begin(), mWaiting.end());
@@ -83,6 +88,7 @@
     return cut;
   }
 
+  /// Advances the time by kStep and appends the progress to aEvents.
   void Step(std::vector<FakeEvent>& aEvents) {
     if (mFrozen) {
       return;
@@ -130,7 +136,8 @@
   }
 
   double TokensPerStep() const {
-    // A full batch of 16 runs each stream at about half the single speed.
+    // A full batch of 16 runs each stream at about half the speed of a single
+    // one.
     const double batch = static_cast<double>(mRunning.size());
     return mSpeed * 0.5 / (1 + batch / 16.0);
   }
--- a/src/librillwall_coordination/dispatcher_fakes.h
+++ b/src/librillwall_coordination/dispatcher_fakes.h
@@ -1,7 +1,7 @@
 /// \file
-/// A small simulation of nodes and their calls' owners before fake engines, for
-/// measuring the dispatcher's decisions: no network, no threads, simulated
-/// time.
+/// Simulation of nodes, the owners of their calls and fake engines, for
+/// measuring the dispatcher's decisions without network or threads, in
+/// simulated time.
 
 #pragma once
 
@@ -25,9 +25,10 @@
 
 inline constexpr const char* kModel = "model";
 
+/// Product: by the dispatcher. Random: to a random engine, for comparison.
 enum class Routing { Product, Random };
 
-/// What to simulate.
+/// Parameters of a simulation.
 struct Scenario {
   Routing mRouting = Routing::Product;
   DispatchTuning mTuning;
@@ -40,9 +41,9 @@
   Millis mWarmUp{15000};
   double mCallsPerSecond = 40;  ///< interactive, all nodes together
   double mTokensPerCall = 100;
-  double mFirstZoneShare = 0;    ///< of the calls that come through zone z0
-  double mModestShare = 0;       ///< of the calls, by a second house
-  bool mOneQueue = false;        ///< both houses use one name
+  double mFirstZoneShare = 0;    ///< share of calls through zone z0
+  double mModestShare = 0;       ///< share of calls by a second account
+  bool mOneQueue = false;        ///< both accounts share one queue
   double mTrainingTokens = 400;  ///< per sample; 0: no training
   size_t mPrefixes = 0;
   double mPrefillMs = 150;
@@ -50,25 +51,25 @@
   Millis mReportLag{500};
   bool mResubmit = true;  ///< owners retry failed calls
   uint64_t mSeed = 1;
-  /// Brings about faults, or looks on; called every step.
+  /// Injects faults or observes the engines; called in every step.
   std::function<void(std::vector<FakeEngine>&, Millis)> mFaults;
 };
 
-/// What came of it, after the warm-up.
+/// Results of a simulation, without the warm-up.
 struct Outcome {
   std::vector<double> mFirstTokenMs;        ///< of interactive calls, sorted
-  std::vector<double> mModestFirstTokenMs;  ///< of the second house's
-  std::vector<double> mCallMs;              ///< whole interactive calls, sorted
-  std::vector<double> mSampleMs;            ///< whole training calls, sorted
+  std::vector<double> mModestFirstTokenMs;  ///< of the second account
+  std::vector<double> mCallMs;    ///< duration of interactive calls, sorted
+  std::vector<double> mSampleMs;  ///< duration of training calls, sorted
   uint64_t mModestCalls = 0;
   uint64_t mModestRefused = 0;
   uint64_t mCalls = 0;
   uint64_t mRefused = 0;
-  uint64_t mRefusedLate = 0;  ///< of these, held for over 100 ms
-  uint64_t mAttempts = 0;     ///< calls put to an engine, of both classes
+  uint64_t mRefusedLate = 0;  ///< refused after more than 100 ms
+  uint64_t mAttempts = 0;     ///< calls sent to an engine, of both classes
   uint64_t mFirstAttempts = 0;
   uint64_t mFailedAttempts = 0;
-  uint64_t mRemote = 0;  ///< attempts in another zone than the node's
+  uint64_t mRemote = 0;  ///< attempts outside the node's zone
   uint64_t mPreempted = 0;
   int64_t mTrainingTokens = 0;
   int64_t mInteractiveTokens = 0;
@@ -99,7 +100,7 @@
   }
 };
 
-/// Nodes with their owners' calls, before one set of fake engines.
+/// Nodes with the owners of their calls and one shared set of fake engines.
 class Simulation {
  public:
   explicit Simulation(Scenario aScenario)
@@ -113,7 +114,7 @@
                            .mName = kModel,
                            .mZone = engine.mZone,
                            .mGeneration = 1});
-      mByName[engine.mId] = index;
+      mEngineIndexes[engine.mId] = index;
       mEngines.push_back(std::move(engine));
     }
     for (size_t index = 0; index < mScenario.mNodes; ++index) {
@@ -150,7 +151,8 @@
   }
 
  private:
-  struct Owned {
+  /// Call as its owner sees it, over all attempts.
+  struct ClientCall {
     CallSpec mSpec;
     size_t mNode = 0;
     size_t mEngine = 0;
@@ -182,7 +184,7 @@
     }
     if (mNow.Count() % 20 == 0) {
       for (size_t node = 0; node < mNodes.size(); ++node) {
-        Carry(node, mNodes[node]->Tick(mNow));
+        CarryOut(node, mNodes[node]->Tick(mNow));
       }
     }
     if (Counting()) {
@@ -220,7 +222,7 @@
       }
     }
     while (!mReports.empty() && mReports.front().mAt <= mNow) {
-      Pending& report = mReports.front();
+      PendingReport& report = mReports.front();
       report.mReport.mAt = mNow;
       for (const auto& node : mNodes) {
         node->Report(mEngines[report.mEngine].mId, report.mReport);
@@ -235,9 +237,9 @@
     for (int left = calls(mRandom); left > 0; --left) {
       std::exponential_distribution<double> tokens(1 /
                                                    mScenario.mTokensPerCall);
-      std::bernoulli_distribution hot(mScenario.mFirstZoneShare);
+      std::bernoulli_distribution firstZone(mScenario.mFirstZoneShare);
       size_t node = mRandom() % mNodes.size();
-      node -= hot(mRandom) ? node % mScenario.mZones : 0;
+      node -= firstZone(mRandom) ? node % mScenario.mZones : 0;
       Open(node, CallClass::Interactive, 1 + tokens(mRandom));
     }
     if (mScenario.mTrainingTokens <= 0 || mNow.Count() % 50 != 0) {
@@ -257,7 +259,7 @@
     if (mScenario.mRouting == Routing::Product) {
       return mNodes[aNode]->FreeTrainingSlots(kModel);
     }
-    // Without reports: each node its part of 85 % of the slots.
+    // Without reports, each node uses its part of 85 % of the slots.
     const auto slots = static_cast<double>(mEngines.size()) * 16;
     const double part = slots * 0.85 / static_cast<double>(mNodes.size());
     const auto found = mTrainingOf.find(aNode);
@@ -266,7 +268,7 @@
   }
 
   void Open(size_t aNode, CallClass aClass, double aTokens) {
-    Owned call;
+    ClientCall call;
     call.mNode = aNode;
     call.mTokensLeft = aTokens;
     call.mArrived = mNow;
@@ -274,14 +276,14 @@
     call.mSpec.mClass = aClass;
     std::bernoulli_distribution modest(mScenario.mModestShare);
     call.mModest = aClass == CallClass::Interactive && modest(mRandom);
-    const char* house =
+    const char* account =
         call.mModest && !mScenario.mOneQueue ? "modest" : "house";
-    call.mSpec.mTenant = aClass == CallClass::Training ? "trainer" : house;
+    call.mSpec.mTenant = aClass == CallClass::Training ? "trainer" : account;
     call.mSpec.mModel = kModel;
     call.mSpec.mExpectedTokens = static_cast<int64_t>(aTokens);
     call.mSpec.mDeadline = mNow + Millis(600000);
     if (mScenario.mPrefixes > 0) {
-      // Popularity falls off as 1/rank.
+      // The popularity of a prefix is proportional to 1/rank.
       std::uniform_real_distribution<double> draw(0, 1);
       const double count = static_cast<double>(mScenario.mPrefixes);
       call.mSpec.mPrefixHash =
@@ -296,23 +298,24 @@
     Submit(std::move(call));
   }
 
-  void Submit(Owned aCall) {
+  void Submit(ClientCall aCall) {
     const uint64_t ticket = aCall.mSpec.mTicket;
     const size_t node = aCall.mNode;
     const CallSpec spec = aCall.mSpec;
-    mOwned.insert_or_assign(ticket, std::move(aCall));
+    mClientCalls.insert_or_assign(ticket, std::move(aCall));
     if (mScenario.mRouting == Routing::Random) {
       Start(ticket, mRandom() % mEngines.size());
       return;
     }
-    Carry(node, mNodes[node]->Submit(spec, mNow));
+    CarryOut(node, mNodes[node]->Submit(spec, mNow));
   }
 
-  void Carry(size_t aNode, const std::vector<CallDecision>& aDecisions) {
+  /// Carries out the decisions of a node's dispatcher.
+  void CarryOut(size_t aNode, const std::vector<CallDecision>& aDecisions) {
     for (const CallDecision& decision : aDecisions) {
       switch (decision.mAction) {
         case CallAction::Start:
-          Start(decision.mTicket, mByName.at(decision.mUpstream));
+          Start(decision.mTicket, mEngineIndexes.at(decision.mUpstream));
           break;
         case CallAction::Refuse:
           Refused(decision.mTicket);
@@ -325,7 +328,7 @@
   }
 
   void Start(uint64_t aTicket, size_t aEngine) {
-    Owned& call = mOwned.at(aTicket);
+    ClientCall& call = mClientCalls.at(aTicket);
     call.mEngine = aEngine;
     if (Counting()) {
       ++mOutcome.mAttempts;
@@ -345,7 +348,7 @@
   }
 
   void Refused(uint64_t aTicket) {
-    const Owned& call = mOwned.at(aTicket);
+    const ClientCall& call = mClientCalls.at(aTicket);
     if (call.mSpec.mClass == CallClass::Interactive && Counting()) {
       ++mOutcome.mRefused;
       mOutcome.mModestRefused += call.mModest;
@@ -355,38 +358,39 @@
   }
 
   void Forget(uint64_t aTicket) {
-    const Owned& call = mOwned.at(aTicket);
+    const ClientCall& call = mClientCalls.at(aTicket);
     if (call.mSpec.mClass == CallClass::Training) {
       --mTrainingOf[call.mNode];
     }
-    mOwned.erase(aTicket);
+    mClientCalls.erase(aTicket);
   }
 
   void Preempt(size_t aNode, uint64_t aTicket) {
     mOutcome.mPreempted += Counting();
-    Owned call = mOwned.at(aTicket);
+    ClientCall call = mClientCalls.at(aTicket);
     mEngines[call.mEngine].Remove(aTicket);
-    mOwned.erase(aTicket);
-    Carry(aNode, mNodes[aNode]->Finish(aTicket, CallOutcome::Cancelled, mNow));
+    mClientCalls.erase(aTicket);
+    CarryOut(aNode,
+             mNodes[aNode]->Finish(aTicket, CallOutcome::Cancelled, mNow));
     call.mSpec.mTicket = ++mLastTicket;
     Submit(std::move(call));
   }
 
-  /// An attempt ended early.
+  /// Handles an attempt that failed or was refused by the engine.
   void End(uint64_t aTicket, CallOutcome aOutcome) {
-    Owned call = mOwned.at(aTicket);
+    ClientCall call = mClientCalls.at(aTicket);
     mOutcome.mFailedAttempts += Counting();
     const size_t node = call.mNode;
     const std::string engine = mEngines[call.mEngine].mId;
     if (mScenario.mRouting == Routing::Product) {
-      Carry(node, mNodes[node]->Finish(aTicket, aOutcome, mNow));
+      CarryOut(node, mNodes[node]->Finish(aTicket, aOutcome, mNow));
     }
     constexpr size_t kMaxAttempts = 4;
     if (!mScenario.mResubmit || call.mSpec.mAvoid.size() + 1 >= kMaxAttempts) {
       Refused(aTicket);
       return;
     }
-    mOwned.erase(aTicket);
+    mClientCalls.erase(aTicket);
     call.mSpec.mTicket = ++mLastTicket;
     call.mSpec.mRetry = true;
     call.mSpec.mAvoid.push_back(engine);
@@ -394,11 +398,11 @@
   }
 
   void Handle(const FakeEvent& aEvent) {
-    const auto found = mOwned.find(aEvent.mTicket);
-    if (found == mOwned.end()) {
+    const auto found = mClientCalls.find(aEvent.mTicket);
+    if (found == mClientCalls.end()) {
       return;
     }
-    Owned& call = found->second;
+    ClientCall& call = found->second;
     call.mTokensLeft -= static_cast<double>(aEvent.mTokens);
     const bool interactive = call.mSpec.mClass == CallClass::Interactive;
     if (Counting()) {
@@ -429,12 +433,13 @@
     }
     Forget(aEvent.mTicket);
     if (mScenario.mRouting == Routing::Product) {
-      Carry(node,
-            mNodes[node]->Finish(aEvent.mTicket, CallOutcome::Done, mNow));
+      CarryOut(node,
+               mNodes[node]->Finish(aEvent.mTicket, CallOutcome::Done, mNow));
     }
   }
 
-  struct Pending {
+  /// Load report that has not reached the nodes yet.
+  struct PendingReport {
     Millis mAt;
     size_t mEngine = 0;
     LoadReport mReport;
@@ -444,11 +449,11 @@
   std::mt19937_64 mRandom;
   Millis mNow;
   std::vector<FakeEngine> mEngines;
-  std::map<std::string, size_t> mByName;
+  std::map<std::string, size_t> mEngineIndexes;
   std::vector<std::unique_ptr<Dispatcher>> mNodes;
-  std::unordered_map<uint64_t, Owned> mOwned;
+  std::unordered_map<uint64_t, ClientCall> mClientCalls;
   std::map<size_t, int64_t> mTrainingOf;
-  std::deque<Pending> mReports;
+  std::deque<PendingReport> mReports;
   uint64_t mLastTicket = 0;
   long mSteps = 0;
   Outcome mOutcome;
--- a/src/librillwall_coordination/dispatcher_random_test.cpp
+++ b/src/librillwall_coordination/dispatcher_random_test.cpp
@@ -1,7 +1,8 @@
 /// \file
-/// Long random runs of the dispatcher with its invariants checked at each step:
-/// every call is started or refused exactly once, only where it may run; only
-/// training calls in flight are recalled, once; nothing is lost.
+/// Long random runs of the dispatcher that check its invariants at each step:
+/// every call is started or refused exactly once and only at an engine that it
+/// may use; only training calls in flight are preempted, at most once; no call
+/// is lost.
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <boost/json.hpp>
@@ -21,7 +22,7 @@
 class DispatcherRandomTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DispatcherRandomTest);
   CPPUNIT_TEST(KeepsItsInvariants);
-  CPPUNIT_TEST(RepeatsItself);
+  CPPUNIT_TEST(IsDeterministic);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -32,7 +33,7 @@
     }
   }
 
-  void RepeatsItself() { CPPUNIT_ASSERT_EQUAL(Run(99, 1000), Run(99, 1000)); }
+  void IsDeterministic() { CPPUNIT_ASSERT_EQUAL(Run(99, 1000), Run(99, 1000)); }
 
  private:
   struct Waiting {
@@ -41,7 +42,7 @@
   };
   struct Running {
     CallSpec mSpec;
-    bool mRecalled = false;
+    bool mPreempted = false;
   };
 
   uint64_t Pick(uint64_t aBelow) { return mRandom() % aBelow; }
@@ -53,7 +54,7 @@
     return entry->first;
   }
 
-  /// \return all decisions as text
+  /// \return all decisions as text, for comparing runs
   std::string Run(uint64_t aSeed, int aSteps) {
     mRandom.seed(aSeed);
     mNow = Millis(1000);
@@ -83,7 +84,7 @@
         return Report();
       case 4:
       case 5:
-        return Take(mDispatcher->Tick(mNow));
+        return Apply(mDispatcher->Tick(mNow));
       case 6:
         return Withdraw();
       case 7:
@@ -155,7 +156,7 @@
     }
     spec.mDeadline = mNow + Millis(static_cast<int64_t>(Pick(5000)));
     mWaiting[spec.mTicket] = {spec, mNow};
-    Take(mDispatcher->Submit(spec, mNow));
+    Apply(mDispatcher->Submit(spec, mNow));
   }
 
   void Progress() {
@@ -172,28 +173,28 @@
     const uint64_t ticket = AnyKey(mRunning);
     mRunning.erase(ticket);
     const auto outcome = static_cast<CallOutcome>(Pick(8) < 5 ? 0 : Pick(5));
-    Take(mDispatcher->Finish(ticket, outcome, mNow));
+    Apply(mDispatcher->Finish(ticket, outcome, mNow));
   }
 
   void Withdraw() {
     if (!mWaiting.empty()) {
       const uint64_t ticket = AnyKey(mWaiting);
       mWaiting.erase(ticket);
-      Take(mDispatcher->Withdraw(ticket, mNow));
+      Apply(mDispatcher->Withdraw(ticket, mNow));
     }
   }
 
-  void Take(const std::vector<CallDecision>& aDecisions) {
+  void Apply(const std::vector<CallDecision>& aDecisions) {
     for (const CallDecision& decision : aDecisions) {
       mTrace += std::to_string(decision.mTicket) + decision.mUpstream + " ";
       if (decision.mAction == CallAction::Preempt) {
         Running& call = mRunning.at(decision.mTicket);
         CPPUNIT_ASSERT(call.mSpec.mClass == CallClass::Training);
-        CPPUNIT_ASSERT(!call.mRecalled);
-        call.mRecalled = true;
+        CPPUNIT_ASSERT(!call.mPreempted);
+        call.mPreempted = true;
         continue;
       }
-      // Throws for a call decided before, withdrawn or never submitted.
+      // Throws if the call was decided already, withdrawn or never submitted.
       const Waiting call = mWaiting.at(decision.mTicket);
       mWaiting.erase(decision.mTicket);
       if (decision.mAction == CallAction::Refuse) {
@@ -217,19 +218,19 @@
     CPPUNIT_ASSERT(!has(spec.mAvoid, engine.mId));
     CPPUNIT_ASSERT(spec.mZones.empty() || has(spec.mZones, engine.mZone));
     if (spec.mClass == CallClass::Interactive) {
-      // Between two ticks a call may be held a little longer.
+      // A call may wait longer by the time between two ticks.
       CPPUNIT_ASSERT(mNow - aCall.mSubmitted <
                      mLimits.mMaxInteractiveWait + Millis(1000));
     }
   }
 
-  /// Ends all calls; none may be left.
+  /// Ends all calls and checks that none is left.
   void Drain() {
     for (int round = 0; round < 2000 && !mRunning.empty(); ++round) {
       Finish();
     }
     mNow += Millis(10000);
-    Take(mDispatcher->Tick(mNow));
+    Apply(mDispatcher->Tick(mNow));
     while (!mRunning.empty()) {
       Finish();
     }
--- a/src/librillwall_coordination/dispatcher_simulation_test.cpp
+++ b/src/librillwall_coordination/dispatcher_simulation_test.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// What each mechanism brings, in the small simulations of dispatcher_fakes.h:
-/// every bound is missed when the mechanism is switched off in the same run.
+/// Effect of each mechanism of the dispatcher in the simulations of
+/// dispatcher_fakes.h. Each test also switches the mechanism off and checks
+/// that the bound is then missed.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -18,14 +19,14 @@
   CPPUNIT_TEST_SUITE(DispatcherSimulationTest);
   CPPUNIT_TEST(BeatsRandomRouting);
   CPPUNIT_TEST(SharesSlotsBetweenNodes);
-  CPPUNIT_TEST(RefusesAtOnceInOverload);
-  CPPUNIT_TEST(LearnsThatSlotsAreShort);
-  CPPUNIT_TEST(LearnsFromOverdueTokens);
+  CPPUNIT_TEST(RefusesEarlyInOverload);
+  CPPUNIT_TEST(LowersLimitByReports);
+  CPPUNIT_TEST(LowersLimitByOverdueTokens);
   CPPUNIT_TEST(PreemptsForInteractive);
-  CPPUNIT_TEST(ModestHouseIsNotHarmed);
+  CPPUNIT_TEST(ModestAccountIsServedInOverload);
   CPPUNIT_TEST(RetriesAreBounded);
-  CPPUNIT_TEST(PopularPrefixDoesNotSwampItsHome);
-  CPPUNIT_TEST(PrefixesFindTheirEngines);
+  CPPUNIT_TEST(PopularPrefixDoesNotOverloadItsHome);
+  CPPUNIT_TEST(PrefixAffinityReducesLatency);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -52,7 +53,7 @@
     CPPUNIT_ASSERT(Run(scenario).Percentile(0.99) > 6000);
   }
 
-  void RefusesAtOnceInOverload() {
+  void RefusesEarlyInOverload() {
     Scenario scenario;
     scenario.mCallsPerSecond = 120;
     Outcome outcome = Run(scenario);
@@ -73,7 +74,7 @@
     return scenario;
   }
 
-  void LearnsThatSlotsAreShort() {
+  void LowersLimitByReports() {
     Scenario scenario = ShortOfSlots(false);
     scenario.mTuning.mLimitByFirstTokens = false;
     CPPUNIT_ASSERT(Run(scenario).Percentile(0.9) < 1300);
@@ -81,7 +82,7 @@
     CPPUNIT_ASSERT(Run(scenario).Percentile(0.9) > 1300);
   }
 
-  void LearnsFromOverdueTokens() {
+  void LowersLimitByOverdueTokens() {
     Scenario scenario = ShortOfSlots(true);
     CPPUNIT_ASSERT(Run(scenario).Percentile(0.9) < 2500);
     scenario.mTuning.mLimitByFirstTokens = false;
@@ -100,7 +101,7 @@
     CPPUNIT_ASSERT(Part(outcome.mRefused, outcome.mCalls) > 0.04);
   }
 
-  void ModestHouseIsNotHarmed() {
+  void ModestAccountIsServedInOverload() {
     Scenario scenario;
     scenario.mCallsPerSecond = 120;
     scenario.mModestShare = 1.0 / 11;
@@ -130,7 +131,7 @@
     CPPUNIT_ASSERT(perCall() > 1.1);
   }
 
-  void PopularPrefixDoesNotSwampItsHome() {
+  void PopularPrefixDoesNotOverloadItsHome() {
     Scenario scenario;
     scenario.mTrainingTokens = 0;
     scenario.mCallsPerSecond = 50;
@@ -141,7 +142,7 @@
     CPPUNIT_ASSERT(Run(scenario).Percentile(0.99) > 500);
   }
 
-  void PrefixesFindTheirEngines() {
+  void PrefixAffinityReducesLatency() {
     Scenario scenario;
     scenario.mTrainingTokens = 0;
     scenario.mCallsPerSecond = 60;
--- a/src/librillwall_coordination/dispatcher_test.cpp
+++ b/src/librillwall_coordination/dispatcher_test.cpp
@@ -32,26 +32,28 @@
   CPPUNIT_TEST_SUITE(DispatcherTest);
   CPPUNIT_TEST(StartsAtTheLeastLoaded);
   CPPUNIT_TEST(KeepsHeadroomForInteractive);
-  CPPUNIT_TEST(InteractiveGoesFirst);
+  CPPUNIT_TEST(InteractiveStartsFirst);
   CPPUNIT_TEST(PreemptsTrainingWhenFull);
-  CPPUNIT_TEST(LeavingGetsNothingNew);
+  CPPUNIT_TEST(LeavingEngineGetsNoNewCalls);
   CPPUNIT_TEST(RefusesAtOnceWhenNothingIsUsable);
-  CPPUNIT_TEST(RefusesWhatWaitsWhenAllHaveLeft);
-  CPPUNIT_TEST(RefusesWhatWaitedTooLong);
-  CPPUNIT_TEST(OpensAndProbes);
+  CPPUNIT_TEST(RefusesQueuedCallsWhenAllEnginesLeave);
+  CPPUNIT_TEST(RefusesCallsThatWaitedTooLong);
+  CPPUNIT_TEST(BreakerOpensAndProbes);
   CPPUNIT_TEST(ShedsTrainingFirst);
-  CPPUNIT_TEST(ChargesWhatWasServed);
-  CPPUNIT_TEST(BusyIsNotDead);
+  CPPUNIT_TEST(ChargesServedTokens);
+  CPPUNIT_TEST(TimeoutsOfBusyEngineDoNotOpenBreaker);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override {
     mNow = Millis(1000);
     mLimits = DispatcherLimits();
-    Make();
+    MakeDispatcher();
   }
 
-  void Make() { mDispatcher = std::make_unique<Dispatcher>("a", mLimits, 1); }
+  void MakeDispatcher() {
+    mDispatcher = std::make_unique<Dispatcher>("a", mLimits, 1);
+  }
 
   void Configure(std::vector<Upstream> aEngines, int64_t aSlots) {
     mDispatcher->Configure(aEngines, PolicyRules(), mNow);
@@ -60,8 +62,9 @@
     }
   }
 
-  /// \return how many of a number of calls are started at once
-  int Fill(CallClass aClass, int aCalls, uint64_t aFirst) {
+  /// Submits a number of calls.
+  /// \return how many are started at once
+  int SubmitCalls(CallClass aClass, int aCalls, uint64_t aFirst) {
     int started = 0;
     for (int call = 0; call < aCalls; ++call) {
       const auto out = mDispatcher->Submit(Call(aFirst + call, aClass), mNow);
@@ -70,10 +73,11 @@
     return started;
   }
 
-  /// Starts training calls over many reports, as a trainer with much to do.
-  /// \return how many were started; the next free ticket follows them
-  int FillOverReports(const std::string& aEngine, int64_t aSlots,
-                      uint64_t aFirst) {
+  /// Starts training calls over many reports, like a trainer with a large
+  /// backlog.
+  /// \return how many were started; their tickets are consecutive from aFirst
+  int SubmitTrainingOverReports(const std::string& aEngine, int64_t aSlots,
+                                uint64_t aFirst) {
     constexpr int kReports = 60;
     int started = 0;
     for (int report = 0; report < kReports; ++report) {
@@ -84,7 +88,8 @@
       mDispatcher->Report(aEngine, Slots(aSlots, mNow, started));
       int64_t freeSlots = mDispatcher->FreeTrainingSlots(kModel);
       for (; freeSlots > 0; --freeSlots) {
-        CPPUNIT_ASSERT_EQUAL(1, Fill(CallClass::Training, 1, aFirst + started));
+        CPPUNIT_ASSERT_EQUAL(
+            1, SubmitCalls(CallClass::Training, 1, aFirst + started));
         ++started;
       }
     }
@@ -104,15 +109,15 @@
 
   void KeepsHeadroomForInteractive() {
     Configure({Engine("e1")}, 20);
-    CPPUNIT_ASSERT_EQUAL(17, FillOverReports("e1", 20, 1));
-    CPPUNIT_ASSERT_EQUAL(3, Fill(CallClass::Interactive, 5, 100));
+    CPPUNIT_ASSERT_EQUAL(17, SubmitTrainingOverReports("e1", 20, 1));
+    CPPUNIT_ASSERT_EQUAL(3, SubmitCalls(CallClass::Interactive, 5, 100));
   }
 
-  void InteractiveGoesFirst() {
+  void InteractiveStartsFirst() {
     Configure({Engine("e1")}, 1);
-    CPPUNIT_ASSERT_EQUAL(1, FillOverReports("e1", 1, 1));
-    Fill(CallClass::Training, 1, 2);
-    Fill(CallClass::Interactive, 1, 3);
+    CPPUNIT_ASSERT_EQUAL(1, SubmitTrainingOverReports("e1", 1, 1));
+    SubmitCalls(CallClass::Training, 1, 2);
+    SubmitCalls(CallClass::Interactive, 1, 3);
     auto out = mDispatcher->Finish(1, CallOutcome::Done, mNow);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, out.size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, out[0].mTicket);
@@ -122,14 +127,14 @@
 
   void PreemptsTrainingWhenFull() {
     Configure({Engine("e1")}, 3);
-    const int training = FillOverReports("e1", 3, 1);
+    const int training = SubmitTrainingOverReports("e1", 3, 1);
     CPPUNIT_ASSERT(training >= 2);
     const int interactive = 4 - training;
     CPPUNIT_ASSERT_EQUAL(interactive - 1,
-                         Fill(CallClass::Interactive, interactive, 100));
+                         SubmitCalls(CallClass::Interactive, interactive, 100));
     mNow += Millis(100);
     auto out = mDispatcher->Tick(mNow);
-    // One for the one that waits, and only once; the youngest.
+    // One preemption for the waiting call, only once, of the youngest call.
     CPPUNIT_ASSERT_EQUAL(size_t{1}, out.size());
     CPPUNIT_ASSERT(out[0].mAction == CallAction::Preempt);
     CPPUNIT_ASSERT_EQUAL(static_cast<uint64_t>(training), out[0].mTicket);
@@ -140,10 +145,10 @@
     CPPUNIT_ASSERT(out[0].mAction == CallAction::Start);
   }
 
-  void LeavingGetsNothingNew() {
+  void LeavingEngineGetsNoNewCalls() {
     Configure({Engine("e1"), Engine("e2")}, 64);
     mDispatcher->MarkLeaving("e1", mNow);
-    // A list that lags does not bring it back; a new process does.
+    // A host list that lags does not clear the mark; a new process does.
     mDispatcher->Configure({Engine("e1"), Engine("e2")}, PolicyRules(), mNow);
     for (uint64_t ticket = 1; ticket <= 20; ++ticket) {
       const auto out = mDispatcher->Submit(Call(ticket), mNow);
@@ -152,7 +157,7 @@
     Upstream restarted = Engine("e1");
     restarted.mGeneration = 2;
     mDispatcher->Configure({restarted}, PolicyRules(), mNow);
-    CPPUNIT_ASSERT_EQUAL(1, Fill(CallClass::Interactive, 1, 100));
+    CPPUNIT_ASSERT_EQUAL(1, SubmitCalls(CallClass::Interactive, 1, 100));
   }
 
   void RefusesAtOnceWhenNothingIsUsable() {
@@ -170,18 +175,18 @@
                    ErrorKind::Unavailable);
   }
 
-  void RefusesWhatWaitsWhenAllHaveLeft() {
+  void RefusesQueuedCallsWhenAllEnginesLeave() {
     Configure({Engine("e1")}, 1);
-    Fill(CallClass::Interactive, 2, 1);
-    Fill(CallClass::Training, 1, 3);
+    SubmitCalls(CallClass::Interactive, 2, 1);
+    SubmitCalls(CallClass::Training, 1, 3);
     mDispatcher->MarkLeaving("e1", mNow);
     mNow += Millis(100);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mDispatcher->Tick(mNow).size());
   }
 
-  void RefusesWhatWaitedTooLong() {
+  void RefusesCallsThatWaitedTooLong() {
     Configure({Engine("e1")}, 1);
-    Fill(CallClass::Interactive, 2, 1);
+    SubmitCalls(CallClass::Interactive, 2, 1);
     mNow += mLimits.mMaxInteractiveWait;
     const auto out = mDispatcher->Tick(mNow);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, out.size());
@@ -189,51 +194,51 @@
     CPPUNIT_ASSERT(out[0].mReason == ErrorKind::Overloaded);
   }
 
-  void OpensAndProbes() {
+  void BreakerOpensAndProbes() {
     Configure({Engine("e1")}, 8);
     for (uint64_t ticket = 1; ticket <= 3; ++ticket) {
-      Fill(CallClass::Interactive, 1, ticket);
+      SubmitCalls(CallClass::Interactive, 1, ticket);
       mDispatcher->Finish(ticket, CallOutcome::Failed, mNow);
     }
-    CPPUNIT_ASSERT_EQUAL(0, Fill(CallClass::Interactive, 1, 10));
+    CPPUNIT_ASSERT_EQUAL(0, SubmitCalls(CallClass::Interactive, 1, 10));
     mNow += mLimits.mBreakerOpenTime;
     mDispatcher->Tick(mNow);
-    CPPUNIT_ASSERT_EQUAL(1, Fill(CallClass::Interactive, 2, 20));
+    CPPUNIT_ASSERT_EQUAL(1, SubmitCalls(CallClass::Interactive, 2, 20));
     mDispatcher->Finish(20, CallOutcome::Done, mNow);
-    CPPUNIT_ASSERT_EQUAL(1, Fill(CallClass::Interactive, 1, 30));
+    CPPUNIT_ASSERT_EQUAL(1, SubmitCalls(CallClass::Interactive, 1, 30));
   }
 
   void ShedsTrainingFirst() {
     mLimits.mMaxQueued = 2;
-    Make();
+    MakeDispatcher();
     Configure({Engine("e1")}, 1);
-    Fill(CallClass::Interactive, 1, 1);
-    Fill(CallClass::Training, 2, 2);
+    SubmitCalls(CallClass::Interactive, 1, 1);
+    SubmitCalls(CallClass::Training, 2, 2);
     const auto out = mDispatcher->Submit(Call(4), mNow);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, out.size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, out[0].mTicket);
     CPPUNIT_ASSERT(out[0].mAction == CallAction::Refuse);
   }
 
-  void ChargesWhatWasServed() {
+  void ChargesServedTokens() {
     Configure({Engine("e1")}, 8);
-    Fill(CallClass::Interactive, 1, 1);
+    SubmitCalls(CallClass::Interactive, 1, 1);
     mDispatcher->Progress(1, 30, mNow);
     mDispatcher->Finish(1, CallOutcome::Done, mNow);
     CPPUNIT_ASSERT(mDispatcher->Dump().find("\"served_tokens\":30") !=
                    std::string::npos);
   }
 
-  void BusyIsNotDead() {
+  void TimeoutsOfBusyEngineDoNotOpenBreaker() {
     Configure({Engine("e1")}, 8);
-    LoadReport queueing = Slots(8, mNow);
-    queueing.mWaiting = 2;
-    mDispatcher->Report("e1", queueing);
+    LoadReport withWaitingCalls = Slots(8, mNow);
+    withWaitingCalls.mWaiting = 2;
+    mDispatcher->Report("e1", withWaitingCalls);
     for (uint64_t ticket = 1; ticket <= 3; ++ticket) {
-      CPPUNIT_ASSERT_EQUAL(1, Fill(CallClass::Interactive, 1, ticket));
+      CPPUNIT_ASSERT_EQUAL(1, SubmitCalls(CallClass::Interactive, 1, ticket));
       mDispatcher->Finish(ticket, CallOutcome::TimedOut, mNow);
     }
-    CPPUNIT_ASSERT_EQUAL(1, Fill(CallClass::Interactive, 1, 10));
+    CPPUNIT_ASSERT_EQUAL(1, SubmitCalls(CallClass::Interactive, 1, 10));
   }
 
  private:
--- a/src/librillwall_coordination/fact_table.cpp
+++ b/src/librillwall_coordination/fact_table.cpp
@@ -24,11 +24,11 @@
 }  // namespace
 
 FactMergeResult FactTable::Merge(const Fact& aFact) {
-  const auto [place, isNew] = mFacts.try_emplace(aFact.mKey, aFact);
+  const auto [position, isNew] = mFacts.try_emplace(aFact.mKey, aFact);
   if (isNew) {
     return FactMergeResult::Newer;
   }
-  Fact& known = place->second;
+  Fact& known = position->second;
   if (Greater(aFact, known)) {
     known = aFact;
     return FactMergeResult::Newer;
@@ -37,15 +37,16 @@
 }
 
 const Fact* FactTable::Find(std::string_view aKey) const {
-  const auto place = mFacts.find(aKey);
-  return place == mFacts.end() ? nullptr : &place->second;
+  const auto position = mFacts.find(aKey);
+  return position == mFacts.end() ? nullptr : &position->second;
 }
 
 std::vector<Fact> FactTable::WithPrefix(std::string_view aPrefix) const {
   std::vector<Fact> facts;
-  for (auto place = mFacts.lower_bound(aPrefix);
-       place != mFacts.end() && place->first.starts_with(aPrefix); ++place) {
-    facts.push_back(place->second);
+  for (auto position = mFacts.lower_bound(aPrefix);
+       position != mFacts.end() && position->first.starts_with(aPrefix);
+       ++position) {
+    facts.push_back(position->second);
   }
   return facts;
 }
--- a/src/librillwall_coordination/fair_queue_test.cpp
+++ b/src/librillwall_coordination/fair_queue_test.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// Calls of three tenants in one queue before a few slots.
+/// Tests with calls of three tenants in one queue for a few slots.
 class FairQueueTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FairQueueTest);
   CPPUNIT_TEST(ServesByShareInTheLongRun);
-  CPPUNIT_TEST(WrongExpectationsDoNotPay);
-  CPPUNIT_TEST(IdlenessSavesNothing);
-  CPPUNIT_TEST(ModestTenantGoesNext);
-  CPPUNIT_TEST(ForgetsIdleTenants);
+  CPPUNIT_TEST(WrongEstimatesGiveNoAdvantage);
+  CPPUNIT_TEST(IdleTenantGetsNoCredit);
+  CPPUNIT_TEST(LightTenantIsServedNext);
+  CPPUNIT_TEST(ReplacesIdleTenants);
   CPPUNIT_TEST(EstimatesTheWait);
   CPPUNIT_TEST_SUITE_END();
 
@@ -33,8 +33,9 @@
     }
   }
 
-  /// Keeps all tenants' queues full while slots serve calls of random length.
-  /// \param aClaimed the tokens a call is said to take, from its true number
+  /// Keeps the queues of all tenants full while slots serve calls of random
+  /// length.
+  /// \param aClaimed maps the actual tokens of a call to the expected ones
   template <class Claimed>
   void Serve(int aCalls, Claimed&& aClaimed) {
     struct Run {
@@ -74,8 +75,8 @@
     const double all = mServed[0] + mServed[1] + mServed[2];
     for (size_t index = 0; index < kTenants; ++index) {
       const double part = mServed[index] / all;
-      const double due = static_cast<double>(kShares[index]) / 6;
-      CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, part / due, 0.03);
+      const double expected = static_cast<double>(kShares[index]) / 6;
+      CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, part / expected, 0.03);
     }
   }
 
@@ -84,18 +85,19 @@
     CheckShares();
   }
 
-  void WrongExpectationsDoNotPay() {
+  void WrongEstimatesGiveNoAdvantage() {
     Serve(20000, [](size_t aTenant, int64_t aTokens) {
       return aTenant == 0 ? int64_t{1} : aTokens * 3;
     });
     CheckShares();
   }
 
-  void IdlenessSavesNothing() {
+  void IdleTenantGetsNoCredit() {
     for (int call = 0; call < 1000; ++call) {
       mQueue.Started(mTenant[0], 100);
     }
-    // Tenant b was idle; it is not owed the 100,000 tokens that a had.
+    // Tenant b was idle, so it gets no credit for the 100,000 tokens of tenant
+    // a.
     mQueue.Push(mTenant[0], 0);
     mQueue.Push(mTenant[1], 1);
     int inRow = 0;
@@ -113,7 +115,7 @@
     CPPUNIT_ASSERT(inRow <= 3);
   }
 
-  void ForgetsIdleTenants() {
+  void ReplacesIdleTenants() {
     for (int name = 0; name < 100000; ++name) {
       const FairQueue::Tenant tenant = mQueue.FindOrAdd(std::to_string(name));
       mQueue.Started(tenant, 10);
@@ -123,7 +125,7 @@
     CPPUNIT_ASSERT_EQUAL(mTenant[1], mQueue.FindOrAdd("b"));
   }
 
-  void ModestTenantGoesNext() {
+  void LightTenantIsServedNext() {
     for (uint64_t ticket = 0; ticket < 1000; ++ticket) {
       mQueue.Push(mTenant[0], ticket);
     }
@@ -143,7 +145,7 @@
     WaitEstimate estimate;
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, estimate.Wait(50, 10, Millis(0)).Count());
     estimate.Ended(Millis(4000));
-    // In a burst: 10 calls that run 4 s make room 2.5 times a second.
+    // In a burst: 10 calls that run for 4 s free a slot 2.5 times per second.
     CPPUNIT_ASSERT_EQUAL(int64_t{8000},
                          estimate.Wait(20, 10, Millis(0)).Count());
     for (int64_t now = 0; now < 20000; now += 100) {
--- a/src/librillwall_coordination/membership.cpp
+++ b/src/librillwall_coordination/membership.cpp
@@ -48,36 +48,36 @@
   mComposer.Add(aSelf);
 }
 
-void Membership::Impl::Send(const GossipHeader& aHead,
+void Membership::Impl::Send(const GossipHeader& aHeader,
                             const std::vector<UpdateKey>& aPriority,
                             GossipActions& aActions) {
-  aActions.mDatagrams.push_back(mComposer.Compose(aHead, aPriority));
+  aActions.mDatagrams.push_back(mComposer.Compose(aHeader, aPriority));
 }
 
 void Membership::Impl::Send(const ProbeStep& aStep, GossipActions& aActions) {
-  for (const GossipHeader& head : aStep.mDatagrams) {
-    const bool isPing = head.mKind == GossipKind::Ping;
+  for (const GossipHeader& header : aStep.mDatagrams) {
+    const bool isPing = header.mKind == GossipKind::Ping;
     const auto first =
-        isPing ? PingUpdates(head.mTarget) : std::vector<UpdateKey>();
-    Send(head, first, aActions);
+        isPing ? PingUpdates(header.mTarget) : std::vector<UpdateKey>();
+    Send(header, first, aActions);
   }
 }
 
 std::vector<UpdateKey> Membership::Impl::PingUpdates(
     const std::string& aTarget) {
-  std::vector<UpdateKey> news;
+  std::vector<UpdateKey> updates;
   // For receivers that do not know this node or believe it dead.
-  news.push_back({UpdateKey::Kind::Member, mTable.Self().mId});
+  updates.push_back({UpdateKey::Kind::Member, mTable.Self().mId});
   const MemberEntry* target = mTable.Find(aTarget);
   if (target != nullptr && target->mMember.mState != MemberState::Alive) {
     // Lets the target refute it at once.
-    news.push_back({UpdateKey::Kind::Member, aTarget});
+    updates.push_back({UpdateKey::Kind::Member, aTarget});
   }
   for (const Member& suspect :
        mTable.Sample(kSuspicionsPerPing, mRandom, &MemberEntry::HasTimer)) {
-    news.push_back({UpdateKey::Kind::Member, suspect.mId});
+    updates.push_back({UpdateKey::Kind::Member, suspect.mId});
   }
-  return news;
+  return updates;
 }
 
 void Membership::Impl::GossipUpdates(Millis aNow, GossipActions& aActions) {
--- a/src/librillwall_coordination/membership_bench.cpp
+++ b/src/librillwall_coordination/membership_bench.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The cost of the membership at 9, 90 and 370 nodes: processor time of its
-/// steps, bytes of datagrams, and how soon deaths and facts are known. Times
+/// Cost of the membership at 9, 90 and 370 nodes: processor time of its steps,
+/// bytes of datagrams, and the time until deaths and facts are known. The times
 /// in the counters that end in _ms are simulated.
 
 #include <benchmark/benchmark.h>
@@ -16,9 +16,9 @@
 
 namespace {
 
-// IP and UDP headers.
+// Bytes of the IP and UDP headers.
 constexpr size_t kPacketHeaders = 28;
-// Tags, lengths and numbers of a datagram without news, and its digest.
+// Bytes of the tags, lengths, numbers and digest of a datagram without updates.
 constexpr size_t kGossipOverhead = 50;
 constexpr Millis kSecond{1000};
 constexpr Millis kSettle{30000};
@@ -50,7 +50,7 @@
   return state;
 }
 
-/// One node that knows a fleet, all of which answers its pings.
+/// One node that knows a fleet whose members all answer its pings.
 class LoneNode {
  public:
   explicit LoneNode(size_t aCount)
@@ -62,11 +62,12 @@
   }
   void Tick() {
     mNow += TestNetwork::kTick;
-    for (const GossipDatagram& send : mMembership.Tick(mNow).mDatagrams) {
-      if (send.mMessage.mKind == GossipKind::Ping) {
-        const GossipMessage ack{GossipKind::Ack, send.mMessage.mTarget,
-                                send.mMessage.mTarget, send.mMessage.mSequence};
-        mMembership.Receive(ack, send.mTo, mNow);
+    for (const GossipDatagram& datagram : mMembership.Tick(mNow).mDatagrams) {
+      if (datagram.mMessage.mKind == GossipKind::Ping) {
+        const GossipMessage ack{GossipKind::Ack, datagram.mMessage.mTarget,
+                                datagram.mMessage.mTarget,
+                                datagram.mMessage.mSequence};
+        mMembership.Receive(ack, datagram.mTo, mNow);
       }
     }
   }
@@ -127,8 +128,8 @@
   }
 }
 
-/// A second of a whole fleet, with facts published at aState.range(1) a
-/// minute. The time is that of all nodes and of the test network.
+/// One simulated second of a whole fleet, with aState.range(1) facts published
+/// per minute. The time includes all nodes and the test network.
 void FleetSecond(benchmark::State& aState) {
   const size_t count = aState.range(0);
   TestNetwork net = Settled(count);
@@ -136,16 +137,16 @@
   size_t seconds = 0;
   size_t facts = 0;
   net.Watch([&](size_t, const GossipActions& aActions) {
-    for (const GossipDatagram& send : aActions.mDatagrams) {
-      bytes += EstimateBytes(send.mMessage);
+    for (const GossipDatagram& datagram : aActions.mDatagrams) {
+      bytes += EstimateBytes(datagram.mMessage);
     }
   });
   for (auto _ : aState) {
     ++seconds;
     for (; facts < seconds * aState.range(1) / 60; ++facts) {
       const size_t node = facts % count;
-      net.Carry(node, net.At(node).SetFact({"version/letters", facts + 1, "v"},
-                                           net.Now()));
+      net.CarryOut(node, net.At(node).SetFact(
+                             {"version/letters", facts + 1, "v"}, net.Now()));
     }
     net.Run(kSecond);
   }
@@ -161,7 +162,7 @@
   aState.counters["max_ms"] = static_cast<double>(aTimes.back());
 }
 
-/// From a crash until all others count one less.
+/// Time from a crash until all other nodes have detected it.
 void Detection(benchmark::State& aState) {
   const size_t count = aState.range(0);
   TestNetwork net = Settled(count);
@@ -178,7 +179,7 @@
   Report(aState, std::move(times));
 }
 
-/// From a node's publishing of a fact until all know it, with 1 % loss.
+/// Time from the publication of a fact until all nodes know it, at 1 % loss.
 void FactSpread(benchmark::State& aState) {
   const size_t count = aState.range(0);
   TestNetwork net = Settled(count);
@@ -186,7 +187,7 @@
   std::vector<int64_t> times;
   uint64_t revision = 0;
   for (auto _ : aState) {
-    net.Carry(0, net.At(0).SetFact({"key", ++revision, "v"}, net.Now()));
+    net.CarryOut(0, net.At(0).SetFact({"key", ++revision, "v"}, net.Now()));
     const Millis took = net.RunUntil(kLimit, [&] {
       return net.Count([&](const Membership& aNode) {
         const Fact* fact = aNode.FindFact("key");
@@ -199,7 +200,8 @@
   Report(aState, std::move(times));
 }
 
-/// From the end of a split in halves until all see all, and false deaths then.
+/// Time from the end of a partition into halves until all nodes see each other,
+/// and the false deaths in that time.
 void Healing(benchmark::State& aState) {
   const size_t count = aState.range(0);
   TestNetwork net = Settled(count);
@@ -207,12 +209,12 @@
   size_t deaths = 0;
   for (auto _ : aState) {
     for (size_t index = 0; index < count / 2; ++index) {
-      net.SetSide(index, 1);
+      net.SetPartition(index, 1);
     }
     net.Run(kSecond * 60);
     deaths -= net.FalseDeaths();
     for (size_t index = 0; index < count / 2; ++index) {
-      net.SetSide(index, 0);
+      net.SetPartition(index, 0);
     }
     times.push_back(
         net.RunUntil(kLimit, [&] { return net.AllSee(count); }).Count());
@@ -223,7 +225,7 @@
   Report(aState, std::move(times));
 }
 
-/// Deaths declared over freezes of 2 s, one at a time, with 1 % loss.
+/// False deaths during freezes of 2 s, one node at a time, at 1 % loss.
 void Freezes(benchmark::State& aState) {
   const size_t count = aState.range(0);
   TestNetwork net = Settled(count);
--- a/src/librillwall_coordination/membership_composer.cpp
+++ b/src/librillwall_coordination/membership_composer.cpp
@@ -12,15 +12,15 @@
 /// \param aKey data member that identifies a record
 template <class Record>
 void Append(const Record* aRecord, std::string Record::*aKey,
-            std::vector<Record>& aRecords, size_t& aRoom) {
-  if (aRecord == nullptr || EstimateBytes(*aRecord) > aRoom) {
+            std::vector<Record>& aRecords, size_t& aBytesLeft) {
+  if (aRecord == nullptr || EstimateBytes(*aRecord) > aBytesLeft) {
     return;
   }
   const bool isIncluded = std::any_of(
       aRecords.begin(), aRecords.end(),
       [&](const Record& aOther) { return aOther.*aKey == aRecord->*aKey; });
   if (!isIncluded) {
-    aRoom -= EstimateBytes(*aRecord);
+    aBytesLeft -= EstimateBytes(*aRecord);
     aRecords.push_back(*aRecord);
   }
 }
@@ -39,37 +39,37 @@
 }
 
 GossipDatagram GossipComposer::Compose(
-    const GossipHeader& aHead, const std::vector<UpdateKey>& aPriority) {
-  GossipDatagram send;
-  send.mTo = aHead.mTo;
-  send.mMessage.mKind = aHead.mKind;
-  send.mMessage.mFrom = mTable.Self().mId;
-  send.mMessage.mTarget = aHead.mTarget;
-  send.mMessage.mSequence = aHead.mSequence;
-  size_t room = mMaxUpdateBytes;
+    const GossipHeader& aHeader, const std::vector<UpdateKey>& aPriority) {
+  GossipDatagram datagram;
+  datagram.mTo = aHeader.mTo;
+  datagram.mMessage.mKind = aHeader.mKind;
+  datagram.mMessage.mFrom = mTable.Self().mId;
+  datagram.mMessage.mTarget = aHeader.mTarget;
+  datagram.mMessage.mSequence = aHeader.mSequence;
+  size_t bytesLeft = mMaxUpdateBytes;
   for (const UpdateKey& key : aPriority) {
-    AppendRecord(key, send.mMessage, room);
+    AppendRecord(key, datagram.mMessage, bytesLeft);
   }
   const size_t limit = SendLimit(mTable.CountPresent());
-  for (const UpdateKey& key : mUpdates.Take(room, limit)) {
-    AppendRecord(key, send.mMessage, room);
+  for (const UpdateKey& key : mUpdates.Take(bytesLeft, limit)) {
+    AppendRecord(key, datagram.mMessage, bytesLeft);
   }
-  assert(room <= mMaxUpdateBytes);
-  return send;
+  assert(bytesLeft <= mMaxUpdateBytes);
+  return datagram;
 }
 
 void GossipComposer::AppendRecord(const UpdateKey& aKey,
                                   GossipMessage& aMessage,
-                                  size_t& aRoom) const {
+                                  size_t& aBytesLeft) const {
   if (aKey.mKind == UpdateKey::Kind::Fact) {
-    Append(mFacts.Find(aKey.mName), &Fact::mKey, aMessage.mFacts, aRoom);
+    Append(mFacts.Find(aKey.mName), &Fact::mKey, aMessage.mFacts, aBytesLeft);
     return;
   }
   const MemberEntry* entry = mTable.Find(aKey.mName);
   // An unconfirmed member is not sent: other nodes may have removed it long
   // ago.
   if (entry != nullptr && !entry->mUnconfirmed) {
-    Append(&entry->mMember, &Member::mId, aMessage.mMembers, aRoom);
+    Append(&entry->mMember, &Member::mId, aMessage.mMembers, aBytesLeft);
   }
 }
 
--- a/src/librillwall_coordination/membership_composer.h
+++ b/src/librillwall_coordination/membership_composer.h
@@ -38,7 +38,7 @@
   void Add(const Member& aMember);
   void Add(const Fact& aFact);
   /// \param aPriority updates that precede the pending ones
-  GossipDatagram Compose(const GossipHeader& aHead,
+  GossipDatagram Compose(const GossipHeader& aHeader,
                          const std::vector<UpdateKey>& aPriority);
   bool HasUpdates() const { return !mUpdates.IsEmpty(); }
   /// \return number of datagrams that the pending updates would fill
@@ -47,7 +47,7 @@
  private:
   /// Appends the record of a key if it fits.
   void AppendRecord(const UpdateKey& aKey, GossipMessage& aMessage,
-                    size_t& aRoom) const;
+                    size_t& aBytesLeft) const;
 
   const MemberTable& mTable;
   const FactTable& mFacts;
--- a/src/librillwall_coordination/membership_impl.h
+++ b/src/librillwall_coordination/membership_impl.h
@@ -28,8 +28,8 @@
 
   /// Sends the prober's datagrams with the updates that their receivers need.
   void Send(const ProbeStep& aStep, GossipActions& aActions);
-  void Send(const GossipHeader& aHead, const std::vector<UpdateKey>& aPriority,
-            GossipActions& aActions);
+  void Send(const GossipHeader& aHeader,
+            const std::vector<UpdateKey>& aPriority, GossipActions& aActions);
   /// \return updates that a ping carries before pending ones
   std::vector<UpdateKey> PingUpdates(const std::string& aTarget);
   /// Sends pending updates to random members.
--- a/src/librillwall_coordination/membership_parts_test.cpp
+++ b/src/librillwall_coordination/membership_parts_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the membership's parts: updates, facts, duties.
+/// Tests of the parts of Membership: update queue, facts, duty owners.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -30,14 +30,14 @@
 
 class MembershipPartsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MembershipPartsTest);
-  CPPUNIT_TEST(LeastSentNewsGoesFirst);
+  CPPUNIT_TEST(LeastSentUpdateIsTakenFirst);
   CPPUNIT_TEST(FactsMergeInAnyOrder);
-  CPPUNIT_TEST(OnlyDutiesOfTheLostMove);
+  CPPUNIT_TEST(RemovalMovesOnlyTheDutiesOfAMember);
   CPPUNIT_TEST(DutiesAreSpreadEvenly);
   CPPUNIT_TEST(OwnersAreTheSameInEveryProcess);
   CPPUNIT_TEST_SUITE_END();
 
-  void LeastSentNewsGoesFirst() {
+  void LeastSentUpdateIsTakenFirst() {
     const UpdateKey old{UpdateKey::Kind::Fact, "old"};
     const UpdateKey fresh{UpdateKey::Kind::Fact, "fresh"};
     UpdateQueue updates;
@@ -69,23 +69,24 @@
       std::shuffle(facts.begin(), facts.end(), random);
       for (const Fact& fact : facts) {
         right.Merge(fact);
-        right.Merge(facts.front());  // repeats change nothing
+        right.Merge(facts.front());  // merging again changes nothing
       }
       CPPUNIT_ASSERT(left.WithPrefix("") == right.WithPrefix(""));
       CPPUNIT_ASSERT_EQUAL(left.Digest(), right.Digest());
     }
   }
 
-  void OnlyDutiesOfTheLostMove() {
+  void RemovalMovesOnlyTheDutiesOfAMember() {
     const std::vector<Member> all = Members(90);
     std::vector<Member> rest = all;
-    const std::string lost = all[17].mId;
+    const std::string removed = all[17].mId;
     rest.erase(rest.begin() + 17);
     for (size_t duty = 0; duty < 2000; ++duty) {
       const auto before = DutyOwners(all, Duty(duty), 3);
       auto expected = before;
-      std::erase_if(expected,
-                    [&](const Member& aMember) { return aMember.mId == lost; });
+      std::erase_if(expected, [&](const Member& aMember) {
+        return aMember.mId == removed;
+      });
       auto after = DutyOwners(rest, Duty(duty), 3);
       after.resize(expected.size());
       CPPUNIT_ASSERT(expected == after);
--- a/src/librillwall_coordination/membership_probe.cpp
+++ b/src/librillwall_coordination/membership_probe.cpp
@@ -31,7 +31,7 @@
     return member;
   }
   mRound.clear();
-  mPlace = 0;
+  mPosition = 0;
   for (const Member& other : aTable.Select(&MemberEntry::IsPresent)) {
     if (!aTable.IsSelf(other.mId)) {
       mRound.push_back(other.mId);
@@ -42,9 +42,9 @@
 }
 
 const Member* ProbeOrder::NextOfRound(const MemberTable& aTable) {
-  while (mPlace < mRound.size()) {
-    const MemberEntry* entry = aTable.Find(mRound[mPlace]);
-    ++mPlace;
+  while (mPosition < mRound.size()) {
+    const MemberEntry* entry = aTable.Find(mRound[mPosition]);
+    ++mPosition;
     if (entry != nullptr && entry->IsPresent()) {
       return &entry->mMember;
     }
@@ -53,9 +53,9 @@
 }
 
 void ProbeOrder::Add(const std::string& aId, std::mt19937_64& aRandom) {
-  const size_t left = mRound.size() - mPlace;
-  const size_t place = mPlace + aRandom() % (left + 1);
-  mRound.insert(mRound.begin() + static_cast<ptrdiff_t>(place), aId);
+  const size_t left = mRound.size() - mPosition;
+  const size_t position = mPosition + aRandom() % (left + 1);
+  mRound.insert(mRound.begin() + static_cast<ptrdiff_t>(position), aId);
 }
 
 Prober::Prober(const GossipLimits& aLimits) : mLimits(aLimits) {}
--- a/src/librillwall_coordination/membership_probe.h
+++ b/src/librillwall_coordination/membership_probe.h
@@ -41,7 +41,7 @@
   const Member* NextOfRound(const MemberTable& aTable);
 
   std::vector<std::string> mRound;
-  size_t mPlace = 0;
+  size_t mPosition = 0;
 };
 
 /// Result of a step of the failure detector.
--- a/src/librillwall_coordination/membership_step_test.cpp
+++ b/src/librillwall_coordination/membership_step_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of single steps of one Membership.
+/// Tests of single steps of one Membership object.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,12 +11,12 @@
 
 class MembershipStepTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MembershipStepTest);
-  CPPUNIT_TEST(AnAnswerCorrectsThePinger);
-  CPPUNIT_TEST(PingsNameSuspicions);
-  CPPUNIT_TEST(PingsTellSuspectsOfTheirSuspicion);
-  CPPUNIT_TEST(ADeafNodeWaitsLonger);
-  CPPUNIT_TEST(AStoppedNodeDeclaresNobodyDead);
-  CPPUNIT_TEST(UnknownDeadAreNotTakenIn);
+  CPPUNIT_TEST(AckCorrectsOutdatedRecord);
+  CPPUNIT_TEST(PingsIncludeSuspicions);
+  CPPUNIT_TEST(PingIncludesSuspicionOfItsTarget);
+  CPPUNIT_TEST(NodeWithoutAnswersWaitsLonger);
+  CPPUNIT_TEST(StalledNodeDeclaresNobodyDead);
+  CPPUNIT_TEST(UnknownDeadMemberIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr Millis kTick{50};
@@ -25,22 +25,24 @@
                      MemberState aState = MemberState::Alive) {
     return {aId, "zone", aId, aId, aId, aIncarnation, aState};
   }
-  static GossipMessage News(const Member& aMember) {
+  static GossipMessage AckWithUpdate(const Member& aMember) {
     GossipMessage message{GossipKind::Ack, "peer", "peer"};
     message.mMembers = {aMember};
     return message;
   }
+  /// \return whether a datagram to aTo (empty: to any) carries a record
   static bool Has(const GossipActions& aActions, const std::string& aTo,
                   const Member& aMember) {
     return std::any_of(aActions.mDatagrams.begin(), aActions.mDatagrams.end(),
-                       [&](const GossipDatagram& aSend) {
-                         const auto& members = aSend.mMessage.mMembers;
-                         return (aTo.empty() || aSend.mTo == aTo) &&
+                       [&](const GossipDatagram& aDatagram) {
+                         const auto& members = aDatagram.mMessage.mMembers;
+                         return (aTo.empty() || aDatagram.mTo == aTo) &&
                                 std::find(members.begin(), members.end(),
                                           aMember) != members.end();
                        });
   }
-  /// Ticks until aCondition holds of a step. \return when, or after a minute
+  /// Ticks until aCondition holds for the actions of a step, at most a minute.
+  /// \return the time of the last step
   template <class Condition>
   Millis TickUntil(const Condition& aCondition) {
     const Millis end = mNow + Millis(60000);
@@ -49,8 +51,8 @@
     }
     return mNow;
   }
-  /// The first ping after all news was sent often enough.
-  GossipActions FirstPingWithoutNews() {
+  /// \return the first ping after no updates are pending any more
+  GossipActions FirstPingWithoutUpdates() {
     GossipActions found;
     const Millis start = mNow;
     TickUntil([&](const GossipActions& aActions) {
@@ -60,7 +62,7 @@
     });
     return found;
   }
-  static bool TellsOfDeath(const GossipActions& aActions) {
+  static bool ReportsDeath(const GossipActions& aActions) {
     return std::any_of(aActions.mChangedMembers.begin(),
                        aActions.mChangedMembers.end(),
                        [](const Member& aMember) {
@@ -74,45 +76,47 @@
     mSelf.Tick(mNow);
   }
 
-  void AnAnswerCorrectsThePinger() {
-    GossipMessage ping = News(Node("x", 1, MemberState::Suspect));
+  void AckCorrectsOutdatedRecord() {
+    GossipMessage ping = AckWithUpdate(Node("x", 1, MemberState::Suspect));
     ping.mKind = GossipKind::Ping;
     ping.mTarget = "self";
     CPPUNIT_ASSERT(
         Has(mSelf.Receive(ping, "peer", mNow), "peer", Node("x", 2)));
   }
 
-  void PingsNameSuspicions() {
+  void PingsIncludeSuspicions() {
     const Member suspect = Node("x", 2, MemberState::Suspect);
-    mSelf.Receive(News(suspect), "peer", mNow);
-    CPPUNIT_ASSERT(Has(FirstPingWithoutNews(), "", suspect));
+    mSelf.Receive(AckWithUpdate(suspect), "peer", mNow);
+    CPPUNIT_ASSERT(Has(FirstPingWithoutUpdates(), "", suspect));
   }
 
-  void PingsTellSuspectsOfTheirSuspicion() {
+  void PingIncludesSuspicionOfItsTarget() {
     for (int index = 0; index < 12; ++index) {
       const std::string id = "s" + std::to_string(index);
-      mSelf.Receive(News(Node(id, 1, MemberState::Suspect)), "peer", mNow);
+      mSelf.Receive(AckWithUpdate(Node(id, 1, MemberState::Suspect)), "peer",
+                    mNow);
     }
-    const GossipActions ping = FirstPingWithoutNews();
+    const GossipActions ping = FirstPingWithoutUpdates();
     const std::string target = ping.mDatagrams[0].mTo;
     CPPUNIT_ASSERT(Has(ping, target, Node(target, 1, MemberState::Suspect)));
   }
 
-  void ADeafNodeWaitsLonger() {
+  void NodeWithoutAnswersWaitsLonger() {
     const Millis start = mNow;
-    TickUntil(TellsOfDeath);
+    TickUntil(ReportsDeath);
     CPPUNIT_ASSERT(mNow - start > GossipLimits{}.mMinSuspicion * 2);
   }
 
-  void AStoppedNodeDeclaresNobodyDead() {
-    mSelf.Receive(News(Node("x", 2, MemberState::Suspect)), "peer", mNow);
+  void StalledNodeDeclaresNobodyDead() {
+    mSelf.Receive(AckWithUpdate(Node("x", 2, MemberState::Suspect)), "peer",
+                  mNow);
     mNow += Millis(30000);
-    const Millis woken = mNow;
-    TickUntil(TellsOfDeath);
-    CPPUNIT_ASSERT(mNow - woken >= GossipLimits{}.mMinSuspicion);
+    const Millis resumedAt = mNow;
+    TickUntil(ReportsDeath);
+    CPPUNIT_ASSERT(mNow - resumedAt >= GossipLimits{}.mMinSuspicion);
   }
 
-  void UnknownDeadAreNotTakenIn() {
+  void UnknownDeadMemberIsIgnored() {
     mSelf.Merge({{Node("y", 1, MemberState::Dead)}, {}}, mNow);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mSelf.All().size());
   }
--- a/src/librillwall_coordination/membership_table.cpp
+++ b/src/librillwall_coordination/membership_table.cpp
@@ -49,8 +49,8 @@
 }
 
 MemberMergeResult MemberTable::Merge(const Member& aRecord, Millis aNow) {
-  const auto [place, isNew] = mEntries.try_emplace(aRecord.mId);
-  MemberEntry& entry = place->second;
+  const auto [position, isNew] = mEntries.try_emplace(aRecord.mId);
+  MemberEntry& entry = position->second;
   if (isNew) {
     Replace(entry, aRecord, aNow);
     return MemberMergeResult::Changed;
@@ -107,13 +107,13 @@
 }
 
 MemberEntry* MemberTable::Find(std::string_view aId) {
-  const auto place = mEntries.find(aId);
-  return place == mEntries.end() ? nullptr : &place->second;
+  const auto position = mEntries.find(aId);
+  return position == mEntries.end() ? nullptr : &position->second;
 }
 
 const MemberEntry* MemberTable::Find(std::string_view aId) const {
-  const auto place = mEntries.find(aId);
-  return place == mEntries.end() ? nullptr : &place->second;
+  const auto position = mEntries.find(aId);
+  return position == mEntries.end() ? nullptr : &position->second;
 }
 
 void MemberTable::ForgetDead(Millis aBefore) {
@@ -175,9 +175,9 @@
       chosen.push_back(&entry.mMember);
       continue;
     }
-    const size_t place = aRandom() % seen;
-    if (place < aCount) {
-      chosen[place] = &entry.mMember;
+    const size_t position = aRandom() % seen;
+    if (position < aCount) {
+      chosen[position] = &entry.mMember;
     }
   }
   std::vector<Member> members;
--- a/src/librillwall_coordination/membership_test.cpp
+++ b/src/librillwall_coordination/membership_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the membership on a deterministic network.
+/// Tests of Membership on a simulated deterministic network.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Millis kNeverHeld{600000};
+constexpr Millis kMaxSimulatedTime{600000};
 
 }  // namespace
 
@@ -20,33 +20,33 @@
   CPPUNIT_TEST_SUITE(MembershipTest);
   CPPUNIT_TEST(Join);
   CPPUNIT_TEST(DeathIsDetected);
-  CPPUNIT_TEST(LossAndShortFreezesKillNobody);
-  CPPUNIT_TEST(BrokenLinkSuspectsNobody);
-  CPPUNIT_TEST(LongFreezeIsOutlived);
-  CPPUNIT_TEST(FreezeBringsBackNoForgottenMember);
+  CPPUNIT_TEST(LossAndShortFreezesCauseNoFalseDeaths);
+  CPPUNIT_TEST(BrokenLinkCausesNoSuspicion);
+  CPPUNIT_TEST(MemberRejoinsAfterLongFreeze);
+  CPPUNIT_TEST(FreezeDoesNotReviveRemovedMember);
   CPPUNIT_TEST(PartitionHeals);
   CPPUNIT_TEST(PartitionHealsWithoutSeeds);
-  CPPUNIT_TEST(HealingKillsNobody);
-  CPPUNIT_TEST(LeavingHoldsNoDuty);
-  CPPUNIT_TEST(FactSpreads);
+  CPPUNIT_TEST(HealingCausesNoFalseDeaths);
+  CPPUNIT_TEST(LeavingMemberHoldsNoDuty);
+  CPPUNIT_TEST(FactReachesAllNodes);
   CPPUNIT_TEST(DatagramsAreBounded);
   CPPUNIT_TEST(AllConvergeAfterRandomFaults);
   CPPUNIT_TEST_SUITE_END();
 
   static TestNetwork Joined(size_t aCount, uint64_t aSeed) {
     TestNetwork net(aCount, GossipLimits{}, aSeed);
-    net.RunUntil(kNeverHeld, [&] { return net.AllSee(aCount); });
+    net.RunUntil(kMaxSimulatedTime, [&] { return net.AllSee(aCount); });
     CPPUNIT_ASSERT(net.AllSee(aCount));
     return net;
   }
 
   static void Split(TestNetwork& aNet, size_t aCount, Millis aSpan) {
     for (size_t index = 0; index < aCount; ++index) {
-      aNet.SetSide(index, 1);
+      aNet.SetPartition(index, 1);
     }
     aNet.Run(aSpan);
     for (size_t index = 0; index < aCount; ++index) {
-      aNet.SetSide(index, 0);
+      aNet.SetPartition(index, 0);
     }
   }
 
@@ -58,7 +58,8 @@
   void DeathIsDetected() {
     TestNetwork net = Joined(9, 2);
     net.Crash(4);
-    const Millis took = net.RunUntil(kNeverHeld, [&] { return net.AllSee(8); });
+    const Millis took =
+        net.RunUntil(kMaxSimulatedTime, [&] { return net.AllSee(8); });
     CPPUNIT_ASSERT(took < Millis(10000));
     net.Run(GossipLimits{}.mDeadRetention + Millis(10000));
     CPPUNIT_ASSERT_EQUAL(size_t{8}, net.At(0).All().size());
@@ -67,7 +68,7 @@
     CPPUNIT_ASSERT(net.AllSee(9));
   }
 
-  void LossAndShortFreezesKillNobody() {
+  void LossAndShortFreezesCauseNoFalseDeaths() {
     TestNetwork net = Joined(9, 3);
     net.SetLoss(0.01);
     std::mt19937_64 random(3);
@@ -79,7 +80,7 @@
     CPPUNIT_ASSERT(net.AllSee(9));
   }
 
-  void BrokenLinkSuspectsNobody() {
+  void BrokenLinkCausesNoSuspicion() {
     TestNetwork net = Joined(9, 4);
     net.BreakLink(3, 7);
     net.Run(Millis(60000));
@@ -87,37 +88,40 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, net.At(7).Self().mIncarnation);
   }
 
-  void LongFreezeIsOutlived() {
+  void MemberRejoinsAfterLongFreeze() {
     TestNetwork net = Joined(9, 5);
     net.Freeze(5, Millis(30000));
     net.Run(Millis(30000));
-    CPPUNIT_ASSERT_EQUAL(size_t{8}, net.FalseDeaths());  // of it, by each
-    const Millis took = net.RunUntil(kNeverHeld, [&] { return net.AllSee(9); });
+    CPPUNIT_ASSERT_EQUAL(size_t{8},
+                         net.FalseDeaths());  // node 5, declared dead by each
+    const Millis took =
+        net.RunUntil(kMaxSimulatedTime, [&] { return net.AllSee(9); });
     CPPUNIT_ASSERT(took < Millis(10000));
     net.Run(Millis(30000));
-    CPPUNIT_ASSERT_EQUAL(size_t{8}, net.FalseDeaths());  // it kills nobody
+    CPPUNIT_ASSERT_EQUAL(size_t{8},
+                         net.FalseDeaths());  // it declares nobody dead
     CPPUNIT_ASSERT(net.At(5).Self().mIncarnation > 1);
   }
 
-  void FreezeBringsBackNoForgottenMember() {
+  void FreezeDoesNotReviveRemovedMember() {
     TestNetwork net = Joined(9, 6);
     net.Freeze(5, Millis(150000));
     net.Crash(4);
     net.Run(Millis(150000));
-    size_t told = 0;
+    size_t reported = 0;
     net.Watch([&](size_t aNode, const GossipActions& aActions) {
       for (const Member& member : aActions.mChangedMembers) {
-        told += aNode != 5 && member.mId == TestNetwork::Id(4) ? 1 : 0;
+        reported += aNode != 5 && member.mId == TestNetwork::Id(4) ? 1 : 0;
       }
     });
     net.Run(Millis(60000));
-    CPPUNIT_ASSERT_EQUAL(size_t{0}, told);
+    CPPUNIT_ASSERT_EQUAL(size_t{0}, reported);
     CPPUNIT_ASSERT(net.AllSee(8));
   }
 
   void PartitionHeals() {
     TestNetwork net = Joined(9, 7);
-    // The second is longer than the dead are remembered.
+    // The second span is longer than the retention of dead members.
     for (const Millis span : {Millis(30000), Millis(150000)}) {
       Split(net, 4, span);
       CPPUNIT_ASSERT_EQUAL(size_t{4}, net.At(0).Live().size());
@@ -142,7 +146,7 @@
     CPPUNIT_ASSERT(net.AllSee(6));
   }
 
-  void HealingKillsNobody() {
+  void HealingCausesNoFalseDeaths() {
     TestNetwork net = Joined(60, 12);
     Split(net, 30, Millis(30000));
     const size_t deaths = net.FalseDeaths();
@@ -151,11 +155,12 @@
     CPPUNIT_ASSERT_EQUAL(deaths, net.FalseDeaths());
   }
 
-  void LeavingHoldsNoDuty() {
+  void LeavingMemberHoldsNoDuty() {
     TestNetwork net = Joined(9, 9);
-    net.Carry(2, net.At(2).Leave(net.Now()));
+    net.CarryOut(2, net.At(2).Leave(net.Now()));
     CPPUNIT_ASSERT_EQUAL(size_t{8}, net.At(2).Live().size());
-    const Millis took = net.RunUntil(kNeverHeld, [&] { return net.AllSee(8); });
+    const Millis took =
+        net.RunUntil(kMaxSimulatedTime, [&] { return net.AllSee(8); });
     CPPUNIT_ASSERT(took < Millis(2000));
     net.Run(Millis(30000));
     CPPUNIT_ASSERT(net.At(0).All()[2].mState == MemberState::Leaving);
@@ -164,13 +169,14 @@
     CPPUNIT_ASSERT_EQUAL(size_t{8}, net.At(0).All().size());
   }
 
-  void FactSpreads() {
+  void FactReachesAllNodes() {
     TestNetwork net = Joined(100, 10);
-    net.SetExchange(kNeverHeld);  // by news alone
+    net.SetExchange(kMaxSimulatedTime);  // gossip only
     net.Run(Millis(30000));
     net.SetLoss(0.01);
-    net.Carry(50, net.At(50).SetFact({"version/letters", 7, "v7"}, net.Now()));
-    const Millis took = net.RunUntil(kNeverHeld, [&] {
+    net.CarryOut(50,
+                 net.At(50).SetFact({"version/letters", 7, "v7"}, net.Now()));
+    const Millis took = net.RunUntil(kMaxSimulatedTime, [&] {
       return net.Count([](const Membership& aNode) {
         return aNode.FindFact("version/letters") != nullptr;
       }) == 100;
@@ -182,13 +188,13 @@
     TestNetwork net = Joined(9, 11);
     size_t largest = 0;
     net.Watch([&](size_t, const GossipActions& aActions) {
-      for (const GossipDatagram& send : aActions.mDatagrams) {
-        largest = std::max(largest, NewsBytes(send.mMessage));
+      for (const GossipDatagram& datagram : aActions.mDatagrams) {
+        largest = std::max(largest, UpdateBytes(datagram.mMessage));
       }
     });
     for (uint64_t fact = 1; fact <= 100; ++fact) {
       const std::string key = "leaving/engine-" + std::to_string(fact);
-      net.Carry(0, net.At(0).SetFact({key, fact, "leaving"}, net.Now()));
+      net.CarryOut(0, net.At(0).SetFact({key, fact, "leaving"}, net.Now()));
     }
     net.Run(Millis(10000));
     CPPUNIT_ASSERT_EQUAL(size_t{100},
@@ -206,14 +212,15 @@
         const size_t node = random() % 12;
         const Millis span(static_cast<int64_t>(random() % 20000));
         net.Freeze(random() % 12, span);
-        net.SetSide(random() % 12, static_cast<int>(random() % 2));
+        net.SetPartition(random() % 12, static_cast<int>(random() % 2));
         net.Restart(random() % 12, round + 1);
-        net.Carry(node, net.At(node).SetFact(
-                            {"key", random() % round, Id(round)}, net.Now()));
+        net.CarryOut(node,
+                     net.At(node).SetFact({"key", random() % round, Id(round)},
+                                          net.Now()));
         net.Run(Millis(5000));
       }
       for (size_t node = 0; node < 12; ++node) {
-        net.SetSide(node, 0);
+        net.SetPartition(node, 0);
       }
       net.SetLoss(0);
       net.Run(Millis(120000));
@@ -226,7 +233,7 @@
   }
 
   static std::string Id(size_t aIndex) { return TestNetwork::Id(aIndex); }
-  static size_t NewsBytes(const GossipMessage& aMessage) {
+  static size_t UpdateBytes(const GossipMessage& aMessage) {
     size_t bytes = 0;
     for (const Member& member : aMessage.mMembers) {
       bytes += EstimateBytes(member);
--- a/src/librillwall_coordination/membership_test_network.h
+++ b/src/librillwall_coordination/membership_test_network.h
@@ -1,5 +1,6 @@
 /// \file
-/// A deterministic network of Membership objects, for tests and benchmarks.
+/// Simulated deterministic network of Membership objects, for tests and
+/// benchmarks.
 
 #pragma once
 
@@ -15,8 +16,8 @@
 
 namespace rillwall {
 
-/// Nodes that exchange datagrams with a seeded latency and loss. Nodes can be
-/// crashed, frozen (what arrives meanwhile waits) and put in partitions.
+/// Nodes that exchange datagrams with seeded random latency and loss. Nodes can
+/// be crashed, frozen (datagrams that arrive meanwhile wait) and partitioned.
 class TestNetwork {
  public:
   static constexpr Millis kStep{10};
@@ -44,7 +45,7 @@
   Membership& At(size_t aIndex) { return *mNodes[aIndex].mMembership; }
   Millis Now() const { return mNow; }
   size_t Size() const { return mNodes.size(); }
-  /// \return how often a node took one for dead whose process runs on
+  /// \return how often a node declared a member dead whose process was running
   size_t FalseDeaths() const { return mFalseDeaths; }
   void SetLoss(double aLoss) { mLoss = aLoss; }
   void SetExchange(Millis aPeriod) { mExchange = aPeriod; }
@@ -55,16 +56,18 @@
   bool IsFrozen(size_t aIndex) const {
     return mNodes[aIndex].mFrozenUntil > mNow;
   }
-  /// Nodes hear only those with the same side.
-  void SetSide(size_t aIndex, int aSide) { mNodes[aIndex].mSide = aSide; }
-  /// Two nodes no longer hear each other.
-  void BreakLink(size_t aLeft, size_t aRight) { mBroken = {aLeft, aRight}; }
-  /// Watches every step's actions.
+  /// Nodes receive datagrams only from nodes of the same partition.
+  void SetPartition(size_t aIndex, int aPartition) {
+    mNodes[aIndex].mPartition = aPartition;
+  }
+  /// Drops all datagrams between two nodes.
+  void BreakLink(size_t aLeft, size_t aRight) { mBrokenLink = {aLeft, aRight}; }
+  /// Sets a function that sees the actions of every step.
   void Watch(std::function<void(size_t, const GossipActions&)> aWatcher) {
     mWatcher = std::move(aWatcher);
   }
-  /// Carries out what a call into a node's membership asked for.
-  void Carry(size_t aFrom, const GossipActions& aActions) {
+  /// Carries out the actions that a node's membership returned.
+  void CarryOut(size_t aFrom, const GossipActions& aActions) {
     if (mWatcher) {
       mWatcher(aFrom, aActions);
     }
@@ -74,14 +77,16 @@
           !mNodes[index].mCrashed && member.mState == MemberState::Dead;
       mFalseDeaths += isFalse ? 1 : 0;
     }
-    for (const GossipDatagram& send : aActions.mDatagrams) {
+    for (const GossipDatagram& datagram : aActions.mDatagrams) {
       const size_t to =
-          std::stoul(send.mTo.substr(send.mTo.find(':') + 1)) - kFirstPort;
+          std::stoul(datagram.mTo.substr(datagram.mTo.find(':') + 1)) -
+          kFirstPort;
       const bool isLost = std::bernoulli_distribution(mLoss)(mRandom);
-      if (!isLost && Hears(aFrom, to)) {
-        const Millis due =
+      if (!isLost && CanReach(aFrom, to)) {
+        const Millis arrival =
             mNow + kStep * (1 + static_cast<int64_t>(mRandom() % 2));
-        mWire.emplace(due, Flight{aFrom, to, send.mMessage});
+        mInFlight.emplace(arrival,
+                          InFlightDatagram{aFrom, to, datagram.mMessage});
       }
     }
   }
@@ -112,7 +117,7 @@
       return aNode.mCrashed || aNode.mMembership->Live().size() == aCount;
     });
   }
-  /// Ends a process, as a replacement with a greater incarnation starts.
+  /// Replaces a process by a new one with a greater incarnation.
   void Restart(size_t aIndex, uint64_t aIncarnation) {
     mNodes[aIndex].mCrashed = false;
     mNodes[aIndex].mFrozenUntil = Millis();
@@ -121,7 +126,7 @@
   }
 
  private:
-  struct Flight {
+  struct InFlightDatagram {
     size_t mFrom = 0;
     size_t mTo = 0;
     GossipMessage mMessage;
@@ -129,9 +134,9 @@
   struct Node {
     std::unique_ptr<Membership> mMembership;
     Millis mFrozenUntil;
-    std::vector<Flight> mWaiting;
+    std::vector<InFlightDatagram> mWaiting;
     bool mCrashed = false;
-    int mSide = 0;
+    int mPartition = 0;
   };
 
   std::unique_ptr<Membership> Make(size_t aIndex, uint64_t aIncarnation) {
@@ -144,37 +149,39 @@
   void Add(size_t aIndex, uint64_t aIncarnation) {
     mNodes.emplace_back().mMembership = Make(aIndex, aIncarnation);
   }
-  bool Hears(size_t aFrom, size_t aTo) const {
+  bool CanReach(size_t aFrom, size_t aTo) const {
     const std::pair<size_t, size_t> link = std::minmax(aFrom, aTo);
-    return aTo < mNodes.size() && !mNodes[aTo].mCrashed && link != mBroken &&
-           mNodes[aFrom].mSide == mNodes[aTo].mSide;
-  }
-  void Deliver(const Flight& aFlight) {
-    Node& node = mNodes[aFlight.mTo];
-    if (IsFrozen(aFlight.mTo)) {
-      node.mWaiting.push_back(aFlight);
+    return aTo < mNodes.size() && !mNodes[aTo].mCrashed &&
+           link != mBrokenLink &&
+           mNodes[aFrom].mPartition == mNodes[aTo].mPartition;
+  }
+  void Deliver(const InFlightDatagram& aDatagram) {
+    Node& node = mNodes[aDatagram.mTo];
+    if (IsFrozen(aDatagram.mTo)) {
+      node.mWaiting.push_back(aDatagram);
     } else if (!node.mCrashed) {
-      Carry(aFlight.mTo, node.mMembership->Receive(
-                             aFlight.mMessage, Address(aFlight.mFrom), mNow));
+      CarryOut(aDatagram.mTo,
+               node.mMembership->Receive(aDatagram.mMessage,
+                                         Address(aDatagram.mFrom), mNow));
     }
   }
   void Exchange(size_t aIndex) {
     const std::vector<Member> live = At(aIndex).Live();
     const Member& peer = live[mRandom() % live.size()];
     const size_t other = IndexOf(peer.mId);
-    if (other == aIndex || !Hears(aIndex, other) || IsFrozen(other)) {
+    if (other == aIndex || !CanReach(aIndex, other) || IsFrozen(other)) {
       return;
     }
     const GossipState state = At(aIndex).Snapshot();
-    Carry(aIndex, At(aIndex).Merge(At(other).Snapshot(), mNow));
-    Carry(other, At(other).Merge(state, mNow));
+    CarryOut(aIndex, At(aIndex).Merge(At(other).Snapshot(), mNow));
+    CarryOut(other, At(other).Merge(state, mNow));
   }
   void Step() {
     mNow += kStep;
-    while (!mWire.empty() && mWire.begin()->first <= mNow) {
-      const Flight flight = std::move(mWire.begin()->second);
-      mWire.erase(mWire.begin());
-      Deliver(flight);
+    while (!mInFlight.empty() && mInFlight.begin()->first <= mNow) {
+      const InFlightDatagram datagram = std::move(mInFlight.begin()->second);
+      mInFlight.erase(mInFlight.begin());
+      Deliver(datagram);
     }
     for (size_t index = 0; index < mNodes.size(); ++index) {
       StepNode(index);
@@ -186,15 +193,15 @@
       return;
     }
     const Millis turn =
-        mNow + kStep * static_cast<int64_t>(aIndex * 7);  // not all at once
+        mNow + kStep * static_cast<int64_t>(aIndex * 7);  // nodes are staggered
     if (turn.Count() % kTick.Count() == 0) {
-      // Before what waited is read, as timers may fire first.
-      Carry(aIndex, node.mMembership->Tick(mNow));
+      // Before the waiting datagrams are read, because timers may fire first.
+      CarryOut(aIndex, node.mMembership->Tick(mNow));
     }
-    const std::vector<Flight> waiting = std::move(node.mWaiting);
+    const std::vector<InFlightDatagram> waiting = std::move(node.mWaiting);
     node.mWaiting.clear();
-    for (const Flight& flight : waiting) {
-      Deliver(flight);
+    for (const InFlightDatagram& datagram : waiting) {
+      Deliver(datagram);
     }
     if (turn.Count() % mExchange.Count() == 0) {
       Exchange(aIndex);
@@ -204,11 +211,11 @@
   std::mt19937_64 mRandom;
   GossipLimits mLimits;
   std::vector<Node> mNodes;
-  std::multimap<Millis, Flight> mWire;
+  std::multimap<Millis, InFlightDatagram> mInFlight;
   std::function<void(size_t, const GossipActions&)> mWatcher;
   Millis mNow = kStart;
   Millis mExchange{10000};  // as in gossip_loop.cpp
-  std::pair<size_t, size_t> mBroken;
+  std::pair<size_t, size_t> mBrokenLink;
   double mLoss = 0;
   size_t mFalseDeaths = 0;
 };
--- a/src/librillwall_coordination/membership_updates.cpp
+++ b/src/librillwall_coordination/membership_updates.cpp
@@ -35,24 +35,24 @@
 }
 
 void UpdateQueue::Add(const UpdateKey& aKey, size_t aBytes) {
-  const auto [known, isNew] = mPlaces.try_emplace(aKey);
+  const auto [known, isNew] = mPositions.try_emplace(aKey);
   if (!isNew) {
     const auto old = mOrder.find(known->second);
     mBytes -= old->second.mBytes;
     mOrder.erase(old);
   }
   mBytes += aBytes;
-  const Place place{0, mNextAge--};
-  known->second = place;
-  mOrder.emplace(place, Item{aKey, aBytes});
+  const Position position{0, mNextAge--};
+  known->second = position;
+  mOrder.emplace(position, Item{aKey, aBytes});
 }
 
 std::vector<UpdateKey> UpdateQueue::Take(size_t aBytes, size_t aLimit) {
   std::vector<UpdateKey> taken;
-  std::vector<Place> places;
+  std::vector<Position> positions;
   size_t left = aBytes;
   size_t skipped = 0;
-  for (const auto& [place, item] : mOrder) {
+  for (const auto& [position, item] : mOrder) {
     if (left < kMinUpdateBytes || skipped > kMaxSkipped) {
       break;
     }
@@ -62,17 +62,17 @@
     }
     left -= item.mBytes;
     taken.push_back(item.mKey);
-    places.push_back(place);
+    positions.push_back(position);
   }
-  for (const Place& place : places) {
-    auto node = mOrder.extract(place);
+  for (const Position& position : positions) {
+    auto node = mOrder.extract(position);
     ++node.key().mSent;
     if (node.key().mSent >= aLimit) {
       mBytes -= node.mapped().mBytes;
-      mPlaces.erase(node.mapped().mKey);
+      mPositions.erase(node.mapped().mKey);
       continue;
     }
-    mPlaces[node.mapped().mKey] = node.key();
+    mPositions[node.mapped().mKey] = node.key();
     mOrder.insert(std::move(node));
   }
   return taken;
--- a/src/librillwall_coordination/membership_updates.h
+++ b/src/librillwall_coordination/membership_updates.h
@@ -47,20 +47,20 @@
 
  private:
   /// Position in the order of sending.
-  struct Place {
+  struct Position {
     size_t mSent = 0;
     uint64_t mAge = 0;  ///< lower is newer
     // clang-tidy 14 takes the 0 of a rewritten comparison for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const Position&) const = default;
   };
   struct Item {
     UpdateKey mKey;
     size_t mBytes = 0;
   };
 
-  std::map<Place, Item> mOrder;
-  std::map<UpdateKey, Place> mPlaces;
+  std::map<Position, Item> mOrder;
+  std::map<UpdateKey, Position> mPositions;
   uint64_t mNextAge = UINT64_MAX;
   size_t mBytes = 0;
 };
--- a/src/librillwall_coordination/prefix_affinity.h
+++ b/src/librillwall_coordination/prefix_affinity.h
@@ -32,11 +32,11 @@
   /// \return whether an engine was taken
   template <class Take>
   bool Visit(uint64_t aPrefix, int aCount, Take&& aTake) const {
-    size_t place = FindHome(aPrefix);
+    size_t position = FindHome(aPrefix);
     uint32_t last = UINT32_MAX;
     for (size_t step = 0; step < mPoints.size() && aCount > 0; ++step) {
-      const uint32_t index = mPoints[place].mIndex;
-      place = place + 1 < mPoints.size() ? place + 1 : 0;
+      const uint32_t index = mPoints[position].mIndex;
+      position = position + 1 < mPoints.size() ? position + 1 : 0;
       if (index == last) {
         continue;
       }
--- a/src/librillwall_coordination/router.cpp
+++ b/src/librillwall_coordination/router.cpp
@@ -23,23 +23,23 @@
 
 void IndexSet::Resize(size_t aCount) {
   mMembers.clear();
-  mPlaces.assign(aCount, kAbsent);
+  mPositions.assign(aCount, kAbsent);
 }
 
 void IndexSet::Set(uint32_t aIndex, bool aMember) {
-  const uint32_t place = mPlaces[aIndex];
-  if (aMember == (place != kAbsent)) {
+  const uint32_t position = mPositions[aIndex];
+  if (aMember == (position != kAbsent)) {
     return;
   }
   if (aMember) {
-    mPlaces[aIndex] = static_cast<uint32_t>(mMembers.size());
+    mPositions[aIndex] = static_cast<uint32_t>(mMembers.size());
     mMembers.push_back(aIndex);
     return;
   }
-  mMembers[place] = mMembers.back();
-  mPlaces[mMembers[place]] = place;
+  mMembers[position] = mMembers.back();
+  mPositions[mMembers[position]] = position;
   mMembers.pop_back();
-  mPlaces[aIndex] = kAbsent;
+  mPositions[aIndex] = kAbsent;
 }
 
 void EnginePool::SetEngines(std::vector<EngineState*> aEngines, Millis aNow) {
--- a/src/librillwall_coordination/router.h
+++ b/src/librillwall_coordination/router.h
@@ -33,7 +33,7 @@
  private:
   static constexpr uint32_t kAbsent = UINT32_MAX;
   std::vector<uint32_t> mMembers;
-  std::vector<uint32_t> mPlaces;
+  std::vector<uint32_t> mPositions;
 };
 
 /// The engines of one model.
--- a/src/librillwall_coordination/router_test.cpp
+++ b/src/librillwall_coordination/router_test.cpp
@@ -13,13 +13,13 @@
 
 class RouterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RouterTest);
-  CPPUNIT_TEST(OwnZoneWhileItIsNotHotter);
-  CPPUNIT_TEST(KeepsToAllowedZonesAndAvoids);
-  CPPUNIT_TEST(PrefersTheVersion);
-  CPPUNIT_TEST(PrefixGoesHomeWhileThatIsNotLoaded);
+  CPPUNIT_TEST(PrefersOwnZoneUnlessBusier);
+  CPPUNIT_TEST(RespectsZonesAndExclusions);
+  CPPUNIT_TEST(RequiresVersionWhileAvailable);
+  CPPUNIT_TEST(PrefixUsesHomeUnlessLoaded);
   CPPUNIT_TEST(PopularPrefixHasSeveralHomes);
-  CPPUNIT_TEST(FewPrefixesMove);
-  CPPUNIT_TEST(OldReportsFade);
+  CPPUNIT_TEST(RemovalMovesOnlyPrefixesOfAnEngine);
+  CPPUNIT_TEST(OldReportsDecay);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -29,7 +29,7 @@
     mRandom.seed(5);
   }
 
-  /// Makes engines e0, e1, ... by turns in the zones.
+  /// Creates engines e0, e1, ... distributed round-robin over the zones.
   void Make(size_t aCount, size_t aZones) {
     std::vector<EngineState*> engines;
     for (size_t index = 0; index < aCount; ++index) {
@@ -50,7 +50,7 @@
     mPool->RefreshAll(kNow);
   }
 
-  /// \return how often each engine is chosen, without starting calls
+  /// \return how often each engine is chosen when no calls are started
   std::map<std::string, int> Choose(const CallSpec& aSpec, int aTimes = 200) {
     std::map<std::string, int> times;
     for (int time = 0; time < aTimes; ++time) {
@@ -60,7 +60,7 @@
     return times;
   }
 
-  void OwnZoneWhileItIsNotHotter() {
+  void PrefersOwnZoneUnlessBusier() {
     Make(4, 2);
     auto times = Choose({});
     CPPUNIT_ASSERT_EQUAL(200, times["e1"] + times["e3"]);
@@ -70,7 +70,7 @@
     CPPUNIT_ASSERT_EQUAL(200, times["e0"] + times["e2"]);
   }
 
-  void KeepsToAllowedZonesAndAvoids() {
+  void RespectsZonesAndExclusions() {
     Make(6, 3);
     const auto times = Choose({.mZones = {"z1"}, .mAvoid = {"e1"}});
     CPPUNIT_ASSERT_EQUAL(size_t{1}, times.size());
@@ -79,13 +79,13 @@
         200, Choose({.mZones = {"z1"}, .mAvoid = {"e1", "e4"}}).at("none"));
   }
 
-  void PrefersTheVersion() {
+  void RequiresVersionWhileAvailable() {
     Make(50, 1);
     CPPUNIT_ASSERT(Choose({.mMinVersion = 7}).size() > 10);
     Report(13, 0, 7);
     CPPUNIT_ASSERT_EQUAL(200, Choose({.mMinVersion = 7}).at("e13"));
     CPPUNIT_ASSERT(Choose({.mMinVersion = 7, .mAvoid = {"e13"}}).size() > 10);
-    // It is full, but it is the one that has the version.
+    // The engine is full but still the only one that has the version.
     Report(13, 20, 7);
     CPPUNIT_ASSERT_EQUAL(200, Choose({.mMinVersion = 7}).at("none"));
     mEngines[13]->MarkLeaving();
@@ -93,9 +93,9 @@
     CPPUNIT_ASSERT(Choose({.mMinVersion = 7}).size() > 10);
   }
 
-  void PrefixGoesHomeWhileThatIsNotLoaded() {
+  void PrefixUsesHomeUnlessLoaded() {
     Make(20, 1);
-    // Other prefixes keep this one's part of all calls small.
+    // Other prefixes keep the share of this one small, so that it has one home.
     for (uint64_t prefix = 1; prefix < 500; ++prefix) {
       Choose({.mPrefixHash = prefix}, 1);
     }
@@ -112,7 +112,7 @@
     CPPUNIT_ASSERT(Choose({.mPrefixHash = 1000}).size() > 10);
   }
 
-  void FewPrefixesMove() {
+  void RemovalMovesOnlyPrefixesOfAnEngine() {
     std::vector<std::string> ids;
     for (int index = 0; index < 50; ++index) {
       ids.push_back("engine" + std::to_string(index));
@@ -129,12 +129,12 @@
     ids.pop_back();
     const PrefixRing after(ids);
     for (uint64_t prefix = 1; prefix <= 2000; ++prefix) {
-      const uint32_t was = home(before, prefix);
-      CPPUNIT_ASSERT(was == 49 || home(after, prefix) == was);
+      const uint32_t homeBefore = home(before, prefix);
+      CPPUNIT_ASSERT(homeBefore == 49 || home(after, prefix) == homeBefore);
     }
   }
 
-  void OldReportsFade() {
+  void OldReportsDecay() {
     Make(10, 1);
     Report(0, 16, 0);
     const EngineState& engine = *mEngines[0];
@@ -142,7 +142,7 @@
     const double old = engine.Load(mPool->Prior(), kNow + Millis(20000));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(16, fresh, 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(mPool->Prior(), old, 0.01);
-    // Own calls that the report counts already are not counted twice.
+    // Own calls that the report already counts are not counted twice.
     mEngines[1]->Started(CallClass::Interactive, 1, kNow);
     mEngines[1]->Started(CallClass::Interactive, 2, kNow);
     mEngines[1]->Report({.mRunning = 2, .mSlots = 20, .mAt = kNow + kLong}, 0);
