--- a/src/librillwall_coordination/breaker.cpp
+++ b/src/librillwall_coordination/breaker.cpp
@@ -82,8 +82,9 @@
 }
 
 void Breaker::Open(Millis aNow) {
-  const bool again = mState == BreakerState::Probing;
-  mWait = again ? std::min(mWait * 2, mLimits.mMaxOpenTime) : mLimits.mOpenTime;
+  const bool probeFailed = mState == BreakerState::Probing;
+  mWait = probeFailed ? std::min(mWait * 2, mLimits.mMaxOpenTime)
+                      : mLimits.mOpenTime;
   mState = BreakerState::Open;
   mNextProbe = aNow + mWait;
   mFailures = 0;
--- a/src/librillwall_coordination/membership.cpp
+++ b/src/librillwall_coordination/membership.cpp
@@ -57,9 +57,9 @@
 void Membership::Impl::Send(const ProbeStep& aStep, GossipActions& aActions) {
   for (const GossipHeader& header : aStep.mDatagrams) {
     const bool isPing = header.mKind == GossipKind::Ping;
-    const auto first =
+    const auto priority =
         isPing ? PingUpdates(header.mTarget) : std::vector<UpdateKey>();
-    Send(header, first, aActions);
+    Send(header, priority, aActions);
   }
 }
 
@@ -207,7 +207,7 @@
   }
   impl.Send(step, actions);
   impl.ExpireSuspicions(aNow, actions);
-  impl.mTable.ForgetDead(aNow - impl.mLimits.mDeadRetention);
+  impl.mTable.RemoveDead(aNow - impl.mLimits.mDeadRetention);
   impl.PingSeed(aNow, actions);
   impl.ProbeDead(aNow, actions);
   impl.GossipUpdates(aNow, actions);
--- a/src/librillwall_coordination/membership_impl.h
+++ b/src/librillwall_coordination/membership_impl.h
@@ -82,11 +82,11 @@
   FactTable mFacts;
   GossipComposer mComposer;
   Prober mProber;
-  std::vector<UpdateKey>
-      mCorrections;  ///< records of the sender that are outdated
+  /// Members and facts of which the sender has outdated records.
+  std::vector<UpdateKey> mCorrections;
   std::optional<Millis> mFirstTick;
   Millis mLastTick;
-  Millis mIgnoreDatagramsUntil;  ///< earlier datagrams may be outdated
+  Millis mIgnoreDatagramsUntil;  ///< until then, datagrams may be outdated
   Millis mNextGossip;
   Millis mNextDeadProbe;
   Millis mNextSeedPing;
--- a/src/librillwall_coordination/membership_probe.cpp
+++ b/src/librillwall_coordination/membership_probe.cpp
@@ -115,10 +115,10 @@
 }
 
 void Prober::FailProbe(ProbeStep& aStep) {
-  // Relays that answered show that the target is at fault. Without any relay to
-  // ask, this node itself may be cut off.
-  const bool hadRelays = mOutstanding->mIndirect;
-  mHealth.Worsen(hadRelays ? mOutstanding->mNacksMissing : 1);
+  // Relays that answered show that the target is at fault. Without indirect
+  // probes, this node itself may be cut off.
+  const bool probedIndirectly = mOutstanding->mIndirect;
+  mHealth.Worsen(probedIndirectly ? mOutstanding->mNacksMissing : 1);
   aStep.mFailed = mOutstanding->mTarget;
   mOutstanding.reset();
 }
--- a/src/librillwall_coordination/membership_receive.cpp
+++ b/src/librillwall_coordination/membership_receive.cpp
@@ -49,16 +49,16 @@
   if (!isToAnyone && aMessage.mTarget != self) {
     return;  // for an earlier process at this address
   }
-  std::vector<UpdateKey> first = mCorrections;
+  std::vector<UpdateKey> priority = mCorrections;
   if (isToAnyone) {
-    first.push_back({UpdateKey::Kind::Member, self});
+    priority.push_back({UpdateKey::Kind::Member, self});
     for (const Member& member : mTable.Sample(kMembersPerJoinReply, mRandom,
                                               &MemberEntry::IsPresent)) {
-      first.push_back({UpdateKey::Kind::Member, member.mId});
+      priority.push_back({UpdateKey::Kind::Member, member.mId});
     }
   }
-  Send({GossipKind::Ack, std::string(aFrom), self, aMessage.mSequence}, first,
-       aActions);
+  Send({GossipKind::Ack, std::string(aFrom), self, aMessage.mSequence},
+       priority, aActions);
 }
 
 void Membership::Impl::OnPingRequest(const GossipMessage& aMessage,
@@ -83,13 +83,14 @@
   const MemberEntry& entry = *mTable.Find(aRecord.mId);
   const bool isDeath =
       aRecord.mState == MemberState::Dead && HoldsDuties(entry.mMember.mState);
-  const bool isHeardOf = aNow - entry.mLastContact < mLimits.mMinSuspicion;
+  const bool isRecentlySeen = aNow - entry.mLastContact < mLimits.mMinSuspicion;
   const bool isExpected = entry.mHasTimer && aNow - entry.mTimerStart >=
                                                  MinSuspicionTimeout() * 3 / 4;
   Member record = aRecord;
   // After a partition each half learns that its own members were declared dead.
   // A suspicion instead can be refuted before it takes effect.
-  if (isDeath && (isHeardOf || !isExpected || aSource == Source::Exchange)) {
+  if (isDeath &&
+      (isRecentlySeen || !isExpected || aSource == Source::Exchange)) {
     record.mState = MemberState::Suspect;
   }
   return record;
--- a/src/librillwall_coordination/membership_step_test.cpp
+++ b/src/librillwall_coordination/membership_step_test.cpp
@@ -51,7 +51,7 @@
     }
     return mNow;
   }
-  /// \return the first ping after no updates are pending any more
+  /// \return the first ping once no updates are pending
   GossipActions FirstPingWithoutUpdates() {
     GossipActions found;
     const Millis start = mNow;
--- a/src/librillwall_coordination/membership_table.cpp
+++ b/src/librillwall_coordination/membership_table.cpp
@@ -116,7 +116,7 @@
   return position == mEntries.end() ? nullptr : &position->second;
 }
 
-void MemberTable::ForgetDead(Millis aBefore) {
+void MemberTable::RemoveDead(Millis aBefore) {
   if (mDead == 0) {
     return;
   }
--- a/src/librillwall_coordination/membership_table.h
+++ b/src/librillwall_coordination/membership_table.h
@@ -23,8 +23,8 @@
   bool mHasTimer = false;  ///< becomes dead when the timer expires
   Millis mTimerStart;      ///< start of the timer
   Millis mDeadSince;       ///< valid while the state is Dead
-  Millis mLastContact =
-      kNever;  ///< last datagram from the member or proof that it is alive
+  /// Time of the last datagram from the member or of another proof of life.
+  Millis mLastContact = kNever;
   /// Known from before a long stall and not confirmed since; not gossiped.
   bool mUnconfirmed = false;
 
@@ -77,7 +77,7 @@
   bool IsSelf(std::string_view aId) const { return aId == mSelfId; }
 
   /// Removes members that died before a time.
-  void ForgetDead(Millis aBefore);
+  void RemoveDead(Millis aBefore);
   /// Restarts every running timer.
   void RestartTimers(Millis aNow);
   /// Marks all other members as unconfirmed, after a long stall.
--- a/src/librillwall_coordination/router.cpp
+++ b/src/librillwall_coordination/router.cpp
@@ -249,9 +249,10 @@
                                   std::mt19937_64& aRandom, Millis aNow,
                                   Candidate& aBest) {
   const double part = mPrefixShares.Add(aSpec.mPrefixHash, aNow);
-  const double even = part * static_cast<double>(mEngines.size());
+  const double wantedHomes = part * static_cast<double>(mEngines.size());
   const auto homes = static_cast<uint64_t>(
-      mTuning->mMultiplePrefixHomes ? std::max(std::ceil(even), 1.0) : 1.0);
+      mTuning->mMultiplePrefixHomes ? std::max(std::ceil(wantedHomes), 1.0)
+                                    : 1.0);
   auto skip = homes > 1 ? static_cast<int>(aRandom() % homes) : 0;
   const double bound = mMeanLoad * mTuning->mPrefixLoadBound + 1;
   mRing.Visit(aSpec.mPrefixHash, skip + kPrefixTries, [&](uint32_t aIndex) {
--- a/src/librillwall_coordination/slot_share.h
+++ b/src/librillwall_coordination/slot_share.h
@@ -51,8 +51,9 @@
   SlotShareGain mGain;
   int64_t mAllowed;
   double mBoost = 1;
-  int mUnderusedReports = 0;  ///< consecutive reports of a half-empty engine
-                              ///< with the allowance used up
+  /// Consecutive reports of a half-empty engine while the allowance was used
+  /// up.
+  int mUnderusedReports = 0;
 };
 
 }  // namespace rillwall
