--- a/src/librillwall_coordination/membership.cpp
+++ b/src/librillwall_coordination/membership.cpp
@@ -8,8 +8,8 @@
 
 // A longer gap between ticks means that this node itself was stalled.
 constexpr Millis kStallGap{1000};
-// Time after a long stall in which datagrams received during the stall are
-// read.
+// Time after a long stall in which datagrams are ignored, because they were
+// probably queued during the stall and are outdated.
 constexpr Millis kBacklogDrainTime{200};
 // Interval at which a dead member is probed, to heal a partition.
 constexpr Millis kDeadProbePeriod{5000};
--- a/src/librillwall_coordination/node_lifecycle.cpp
+++ b/src/librillwall_coordination/node_lifecycle.cpp
@@ -46,7 +46,7 @@
 
 using Machine = msm::back::state_machine<LifecycleDef>;
 
-// Boost.MSM numbers the states in the order in which the table mentions them.
+// Boost.MSM derives the state IDs from the transition table.
 template <class State>
 constexpr int kStateId =
     msm::back::get_state_id<Machine::stt, State>::type::value;
