--- a/src/librillwall_coordination/fact_table.cpp
+++ b/src/librillwall_coordination/fact_table.cpp
@@ -23,29 +23,30 @@
 
 }  // namespace
 
-FactVerdict FactTable::Take(const Fact& aFact) {
-  const auto [place, isNew] = mFacts.try_emplace(aFact.mKey, aFact);
+FactMergeResult FactTable::Merge(const Fact& aFact) {
+  const auto [position, isNew] = mFacts.try_emplace(aFact.mKey, aFact);
   if (isNew) {
-    return FactVerdict::Newer;
+    return FactMergeResult::Newer;
   }
-  Fact& known = place->second;
+  Fact& known = position->second;
   if (Greater(aFact, known)) {
     known = aFact;
-    return FactVerdict::Newer;
+    return FactMergeResult::Newer;
   }
-  return known == aFact ? FactVerdict::Same : FactVerdict::Older;
+  return known == aFact ? FactMergeResult::Same : FactMergeResult::Older;
 }
 
 const Fact* FactTable::Find(std::string_view aKey) const {
-  const auto place = mFacts.find(aKey);
-  return place == mFacts.end() ? nullptr : &place->second;
+  const auto position = mFacts.find(aKey);
+  return position == mFacts.end() ? nullptr : &position->second;
 }
 
-std::vector<Fact> FactTable::Under(std::string_view aPrefix) const {
+std::vector<Fact> FactTable::WithPrefix(std::string_view aPrefix) const {
   std::vector<Fact> facts;
-  for (auto place = mFacts.lower_bound(aPrefix);
-       place != mFacts.end() && place->first.starts_with(aPrefix); ++place) {
-    facts.push_back(place->second);
+  for (auto position = mFacts.lower_bound(aPrefix);
+       position != mFacts.end() && position->first.starts_with(aPrefix);
+       ++position) {
+    facts.push_back(position->second);
   }
   return facts;
 }
--- a/src/librillwall_coordination/membership_parts_test.cpp
+++ b/src/librillwall_coordination/membership_parts_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the membership's parts: news, facts, duties.
+/// Tests of the parts of Membership: update queue, facts, duty owners.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -30,26 +30,27 @@
 
 class MembershipPartsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MembershipPartsTest);
-  CPPUNIT_TEST(LeastSentNewsGoesFirst);
+  CPPUNIT_TEST(LeastSentUpdateIsTakenFirst);
   CPPUNIT_TEST(FactsMergeInAnyOrder);
-  CPPUNIT_TEST(OnlyDutiesOfTheLostMove);
+  CPPUNIT_TEST(RemovalMovesOnlyTheDutiesOfAMember);
   CPPUNIT_TEST(DutiesAreSpreadEvenly);
   CPPUNIT_TEST(OwnersAreTheSameInEveryProcess);
   CPPUNIT_TEST_SUITE_END();
 
-  void LeastSentNewsGoesFirst() {
-    const NewsKey old{NewsKey::Kind::Fact, "old"};
-    const NewsKey fresh{NewsKey::Kind::Fact, "fresh"};
-    NewsQueue news;
-    news.Add(old, 40);
-    CPPUNIT_ASSERT(news.Take(40, 3) == std::vector<NewsKey>{old});
-    news.Add(fresh, 40);
-    CPPUNIT_ASSERT(news.Take(40, 3) == std::vector<NewsKey>{fresh});
-    CPPUNIT_ASSERT(news.Take(100, 3) == (std::vector<NewsKey>{fresh, old}));
-    CPPUNIT_ASSERT(news.Take(39, 3).empty());
-    CPPUNIT_ASSERT_EQUAL(size_t{80}, news.Bytes());
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, news.Take(100, 3).size());
-    CPPUNIT_ASSERT(news.IsEmpty() && news.Bytes() == 0);
+  void LeastSentUpdateIsTakenFirst() {
+    const UpdateKey old{UpdateKey::Kind::Fact, "old"};
+    const UpdateKey fresh{UpdateKey::Kind::Fact, "fresh"};
+    UpdateQueue updates;
+    updates.Add(old, 40);
+    CPPUNIT_ASSERT(updates.Take(40, 3) == std::vector<UpdateKey>{old});
+    updates.Add(fresh, 40);
+    CPPUNIT_ASSERT(updates.Take(40, 3) == std::vector<UpdateKey>{fresh});
+    CPPUNIT_ASSERT(updates.Take(100, 3) ==
+                   (std::vector<UpdateKey>{fresh, old}));
+    CPPUNIT_ASSERT(updates.Take(39, 3).empty());
+    CPPUNIT_ASSERT_EQUAL(size_t{80}, updates.Bytes());
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, updates.Take(100, 3).size());
+    CPPUNIT_ASSERT(updates.IsEmpty() && updates.Bytes() == 0);
   }
 
   void FactsMergeInAnyOrder() {
@@ -63,28 +64,29 @@
       FactTable left;
       FactTable right;
       for (const Fact& fact : facts) {
-        left.Take(fact);
+        left.Merge(fact);
       }
       std::shuffle(facts.begin(), facts.end(), random);
       for (const Fact& fact : facts) {
-        right.Take(fact);
-        right.Take(facts.front());  // repeats change nothing
+        right.Merge(fact);
+        right.Merge(facts.front());  // merging again changes nothing
       }
-      CPPUNIT_ASSERT(left.Under("") == right.Under(""));
+      CPPUNIT_ASSERT(left.WithPrefix("") == right.WithPrefix(""));
       CPPUNIT_ASSERT_EQUAL(left.Digest(), right.Digest());
     }
   }
 
-  void OnlyDutiesOfTheLostMove() {
+  void RemovalMovesOnlyTheDutiesOfAMember() {
     const std::vector<Member> all = Members(90);
     std::vector<Member> rest = all;
-    const std::string lost = all[17].mId;
+    const std::string removed = all[17].mId;
     rest.erase(rest.begin() + 17);
     for (size_t duty = 0; duty < 2000; ++duty) {
       const auto before = DutyOwners(all, Duty(duty), 3);
       auto expected = before;
-      std::erase_if(expected,
-                    [&](const Member& aMember) { return aMember.mId == lost; });
+      std::erase_if(expected, [&](const Member& aMember) {
+        return aMember.mId == removed;
+      });
       auto after = DutyOwners(rest, Duty(duty), 3);
       after.resize(expected.size());
       CPPUNIT_ASSERT(expected == after);
