--- a/src/include/rillwall/backoff.h
+++ b/src/include/rillwall/backoff.h
@@ -1,6 +1,5 @@
 /// \file
-/// Pauses between tries that double up to a limit, and are not alike on all
-/// nodes.
+/// Exponential backoff with jitter for retries.
 
 #pragma once
 
@@ -11,20 +10,24 @@
 
 namespace rillwall {
 
-/// \param aFailures failures in a row, 1 or more
-/// \return the pause before the next try: aBase after the first failure, twice
-/// as long after each further one, aMost at most
-Millis BackoffDelay(int aFailures, Millis aBase, Millis aMost);
+/// Computes an exponential backoff.
+/// \param aFailures consecutive failures, at least 1
+/// \param aBase delay after the first failure
+/// \param aMax upper limit of the delay
+/// \return the delay before the next try: aBase, doubled with every further
+/// failure, at most aMax
+Millis BackoffDelay(int aFailures, Millis aBase, Millis aMax);
 
-/// Draws pauses, so that nodes that failed together do not try again together.
+/// Adds randomness to delays, so that nodes that failed at the same time do not
+/// retry at the same time.
 class Jitter {
  public:
-  /// \param aSeed not alike on all nodes
+  /// \param aSeed seed of the random numbers; must differ between nodes
   explicit Jitter(uint64_t aSeed)
       : mRandom(static_cast<std::minstd_rand::result_type>(aSeed)) {}
-  /// \return between half and all of a span
+  /// \return a random delay between half of aSpan and aSpan
   Millis EqualJitter(Millis aSpan);
-  /// \return between nothing and all of a span
+  /// \return a random delay between 0 and aSpan
   Millis FullJitter(Millis aSpan);
 
  private:
--- a/src/include/rillwall/call_attempts.h
+++ b/src/include/rillwall/call_attempts.h
@@ -1,8 +1,8 @@
 /// \file
-/// Whether a call to a service may be tried at another replica, and what its
-/// caller may be told in the end.
+/// Retry decisions for one call to a service: whether another replica may be
+/// tried, and which error the client gets in the end.
 ///
-/// Pure. One object for each client attempt.
+/// Pure: no I/O and no clock. Use one CallAttempts object per client attempt.
 
 #pragma once
 
@@ -11,47 +11,54 @@
 
 namespace rillwall {
 
-/// How one try at a replica ended.
+/// Outcome of one try at a replica.
 enum class TryOutcome {
-  Answered,  ///< a whole answer came, or the head of a stream
-  Refused,   ///< the replica said that it did not run the request
+  Answered,  ///< a complete response, or the head of a stream, was received
+  Refused,   ///< the replica reported that it did not run the request
   NotSent,   ///< no byte of the request can have reached the replica
-  Lost,      ///< sent, and no whole answer came: it may have run
-  TimedOut,  ///< sent, and no answer came in the time of this try
+  Lost,  ///< sent, but no complete response arrived; the request may have run
+  /// Sent, but no response arrived within the time limit of this try.
+  TimedOut,
 };
 
-/// What to do next.
+/// Next action for a call.
 enum class CallStep {
-  Deliver,  ///< hand the answer on
+  Deliver,  ///< pass the response on to the client
   Retry,    ///< try another replica
-  Fail,     ///< give the caller the error of Failure()
+  Fail,     ///< return the error of Failure() to the client
 };
 
+/// Tracks the tries of one call.
 class CallAttempts {
  public:
-  /// \param aAttempts replicas that may run the request
+  /// \param aKind decides whether the request may run more than once
+  /// \param aAttempts replicas that may run the request; values below 1 count
+  /// as 1
   CallAttempts(RequestKind aKind, int aAttempts);
 
-  /// \param aStatus of an answer, else 0
-  /// \return what to do next
-  CallStep RecordTry(TryOutcome aEnd, int aStatus);
-  /// \return whether a try may be cut short in favour of another replica
+  /// Records how a try ended.
+  /// \param aStatus HTTP status of the response, 0 if there is none
+  /// \return the next action
+  CallStep RecordTry(TryOutcome aOutcome, int aStatus);
+  /// \return whether the current try may be ended early in favor of another
+  /// replica
   bool MayAbandonTry() const;
-  /// \return whether a replica may have run the request
+  /// \return Unknown if a replica may have run the request, else NotRun
   RunState Run() const {
-    return mRan > 0 ? RunState::Unknown : RunState::NotRun;
+    return mPossibleRuns > 0 ? RunState::Unknown : RunState::NotRun;
   }
-  /// \return how many tries were made
+  /// \return number of tries so far
   int Tries() const { return mTries; }
-  /// \return what the caller is told; says NotRun only if that is certain
-  Error Failure(bool aTimeIsUp) const;
+  /// \return the error for the client; it says NotRun only if no replica can
+  /// have run the request
+  Error Failure(bool aTimedOut) const;
 
  private:
   bool MayRunAgain() const;
 
   const RequestKind mKind;
   const int mAttempts;
-  int mRan = 0;  ///< replicas that ran it, or may have
+  int mPossibleRuns = 0;  ///< replicas that ran the request or may have run it
   int mTries = 0;
 };
 
--- a/src/include/rillwall/cold_share.h
+++ b/src/include/rillwall/cold_share.h
@@ -1,20 +1,22 @@
 /// \file
-/// Which part of what a cold replica takes belongs to this host.
+/// Rate limit of this host for requests to cold replicas.
 ///
-/// A replica that has just started is cold. It ends if all hosts together send
-/// it requests at far more than its rate in any second. No host knows what the
-/// others send, so each keeps to a part of the rate:
+/// A replica is cold for some time after its start. It crashes if all hosts
+/// together send it requests at far more than its rate within any second. A
+/// host does not know what the other hosts send, so each host keeps to a fixed
+/// share of the rate:
 ///
-/// - hosts that take clients share half of it. If there are more of them than
-///   that allows requests a second, a hash of host and replica decides which of
-///   them may use the replica, so that on average no more than half is used;
-/// - the host that owns steps has the other half.
+/// - Hosts that take clients share one half. If there are more hosts than that
+///   half allows requests per second, a hash of host and replica selects the
+///   hosts that may use the replica, so that on average at most half of the
+///   rate is used.
+/// - The host that owns steps has the other half.
 ///
-/// While two hosts take themselves for the owner, that makes one and a half
-/// times the rate.
+/// While two hosts both believe that they are the owner, the total is one and a
+/// half times the rate.
 ///
-/// A look costs O(1), whatever the number of hosts and replicas.
-/// Pure: no I/O and no clock.
+/// A query costs O(1), independent of the number of hosts and replicas. Pure:
+/// no I/O and no clock.
 
 #pragma once
 
@@ -27,14 +29,19 @@
 
 namespace rillwall {
 
+/// Computes how many requests per second this host may send to a cold replica.
 class ColdShare {
  public:
-  /// \param aTakesClients else it sends the texts and scores of steps
+  /// \param aHost name of this host
+  /// \param aTakesClients true for a host that takes clients, false for one
+  /// that sends the texts and scoring calls of steps
   void SetHost(std::string aHost, bool aTakesClients);
-  /// \param aHosts that take clients; 0: unknown, many are assumed
+  /// \param aHosts number of hosts that take clients; 0 if unknown, in which
+  /// case a large number is assumed
   void SetHostCount(size_t aHosts);
-  /// \param aRate requests a second that a cold replica takes from all hosts
-  /// \return requests that this host may send to it within any second
+  /// \param aRate requests per second that a cold replica accepts from all
+  /// hosts together
+  /// \return requests that this host may send to the replica within any second
   int64_t PerSecond(const std::string& aReplica, double aRate) const;
 
  private:
@@ -43,17 +50,19 @@
   size_t mHosts = 0;
 };
 
-/// What this host sent to one replica lately.
+/// Sliding window over the requests that this host sent to one replica.
 class SendWindow {
  public:
-  /// Counts a request.
-  /// \param aMost that are looked at; older ones are forgotten
-  void Sent(Millis aNow, int64_t aMost);
-  /// \return whether one more leaves no second with more than this
-  bool Allows(int64_t aMost, Millis aNow) const;
+  /// Records a request.
+  /// \param aLimit limit that Allows() is checked against; older requests
+  /// beyond it are forgotten
+  void Sent(Millis aNow, int64_t aLimit);
+  /// \return whether one more request now keeps every second within aLimit
+  /// requests
+  bool Allows(int64_t aLimit, Millis aNow) const;
 
  private:
-  std::deque<Millis> mSent;  ///< the newest last
+  std::deque<Millis> mSent;  ///< in order of time, newest last
 };
 
 }  // namespace rillwall
--- a/src/include/rillwall/crash_table.h
+++ b/src/include/rillwall/crash_table.h
@@ -1,35 +1,35 @@
 /// \file
-/// Which requests have ended the replicas that ran them, and which of them are
-/// not to be run again.
+/// Records of replicas that crashed while they ran a request, and the requests
+/// that are held, i.e. not run again, because of them.
 ///
-/// A request that crashes a replica crashes the next one too; its callers come
-/// again, to any host. So what a host sees is kept beyond the attempt that it
-/// saw it in, and shared: each host keeps the records that it made and those
-/// that it was told (CrashSync, ViewExchange). A record names one request and
-/// one replica that ended under it. Records are only ever added, or marked as
-/// cleared, which stays: hosts that were told the same come out with the same,
-/// in whatever order they heard of it, and a host that comes back with old
-/// records undoes nothing.
+/// A request that crashes one replica crashes the next one too, and its callers
+/// retry it at any host. The records therefore outlive the attempt in which a
+/// host made them, and hosts share them (CrashSync, ViewExchange). A record
+/// names one request and one replica that crashed while it ran it. Records are
+/// only added or marked as cleared, and a cleared record stays cleared. Hosts
+/// that received the same records are therefore in the same state, in whatever
+/// order they received them, and a host that returns with old records reverts
+/// nothing.
 ///
-/// Blame. All requests that ran at a replica when it ended are suspects, the
-/// innocent ones too. A suspect is run on; the first whole answer to it, at any
-/// host, clears it. One that has kCrashesToHold records not cleared is held:
-/// no host runs it. While that news is on its way, hosts that have not heard it
-/// may still send; an innocent one is held only if three replicas ended under
-/// it in a row, without an answer in between.
+/// Suspects: all requests that ran at a replica when it crashed are suspects,
+/// including those that did not cause the crash. Suspects are still run. The
+/// first complete response to a suspect, at any host, clears it. A request with
+/// kCrashesToHold records that are not cleared is held: no host runs it. Hosts
+/// that have not received the latest records yet may still send it. A harmless
+/// request is held only if three replicas in a row crashed while they ran it,
+/// without a response in between.
 ///
-/// Bounded. A record is forgotten kRecordLifetime after it was made, so that a
-/// request that is held may be run again then; it costs three more replicas if
-/// nothing has changed. Beyond kMaxRecords the cleared ones go first, then
-/// those of requests with the fewest records, the oldest of them first:
-/// somebody who sends many different requests does not push out those that are
-/// held.
+/// Limits: a record expires kRecordLifetime after it was made. A held request
+/// may then run again, which costs three more replicas if nothing has changed.
+/// Beyond kMaxRecords records, cleared records are evicted first, then records
+/// of the requests with the fewest records, oldest first. A client that sends
+/// many different requests therefore cannot evict the records of held requests.
 ///
-/// With K records, a lookup takes log K, what is told of one record some 200
-/// bytes to each of H hosts, once.
+/// With K records, a lookup costs O(log K). Each record is sent once to each of
+/// H hosts, in some 200 bytes.
 ///
-/// Pure: the time of day is an argument. Hosts' clocks may differ by seconds,
-/// against the hour that records are kept.
+/// Pure: the time of day is an argument. Clocks of hosts may differ by seconds,
+/// which is small against the hour that records are kept.
 
 #pragma once
 
@@ -45,74 +45,82 @@
 
 namespace rillwall {
 
-/// A replica ended while it ran a request.
+/// Records that a replica crashed while it ran a request.
 struct CrashRecord {
   RequestDigest mRequest;
-  std::string mReplica;      ///< one start of it
-  int64_t mAtMs = 0;         ///< ms since 1970, by the host that saw it
+  /// Identifies one process of the replica, not only the replica.
+  std::string mReplica;
+  /// Time of day at the host that saw the crash, in ms since 1970.
+  int64_t mAtMs = 0;
   bool mCleared = false;     ///< the request has been answered since
   std::string mDescription;  ///< method, host and path, for operators
   bool operator==(const CrashRecord&) const = default;
 };
 
-/// What is known of one request.
+/// State of one request that has records.
 struct Suspect {
   RequestDigest mRequest;
-  std::vector<CrashRecord> mRecords;  ///< those that are not cleared
+  std::vector<CrashRecord> mRecords;  ///< records that are not cleared
   bool mHeld = false;
 };
 
+/// Crash records by request and replica.
 class CrashTable {
  public:
-  /// Replicas that end under a request before it is held. With one, whatever
-  /// runs beside a request that crashes is held too: in three soaks all of one
-  /// kind of plain requests. With two and with three it was some texts, and no
-  /// plain request; three is the most that a request may end.
+  /// Crashes after which a request is held. With one, every request that runs
+  /// beside a crashing request is held too, including harmless plain requests;
+  /// with two and with three, only some texts are. Three is the most replicas
+  /// that one request may crash.
   static constexpr size_t kCrashesToHold = 3;
-  /// With so many, a request is not tried at another replica within the same
-  /// attempt: a third one would more likely end than answer.
+  /// Crashes after which a request is not retried at another replica within the
+  /// same attempt, because a third replica would more likely crash than answer.
   static constexpr size_t kCrashesToStopRetries = 2;
-  /// How long a record counts: far over the time in which callers repeat what
-  /// failed, and short enough that a mistake ends by itself.
+  /// Lifetime of a record: much longer than callers keep retrying a failed
+  /// request, and short enough that a request that was held by mistake is
+  /// released automatically.
   static constexpr Millis kRecordLifetime{3600000};
-  /// Some 200 bytes each, a small part of the smallest host's 88 MB.
+  /// At some 200 bytes each, a small part of the 88 MB of the smallest host.
   static constexpr size_t kMaxRecords = 1024;
 
-  /// Called when this host has made or cleared records.
+  /// Called when this host has added or cleared records.
   std::function<void()> mOnLocalChange;
 
-  /// A replica ended under a request here.
-  /// \return whether that is news
+  /// Records that a replica crashed here while it ran a request.
+  /// \return whether the record is new
   bool AddCrash(CrashRecord aRecord);
-  /// A request has been answered here, or an operator knows better.
-  /// \return how many records were cleared by that
+  /// Clears the records of a request, because it was answered here or an
+  /// operator decided so.
+  /// \return number of records that were cleared
   size_t Clear(const RequestDigest& aRequest);
-  /// Takes in what was told or read. \return records that were news
+  /// Adds records from other hosts or from the store.
+  /// \return the records that were new or newly cleared
   std::vector<CrashRecord> Merge(const std::vector<CrashRecord>& aRecords);
-  /// Forgets what is too old or too much.
+  /// Drops expired records.
   /// \param aNowMs time of day, in ms since 1970
   void Forget(int64_t aNowMs);
 
-  /// \return whether there is any record that is not cleared
+  /// \return whether any record is not cleared
   bool HasSuspects() const { return mSuspects > 0; }
-  /// \return replicas that ended under a request since it was answered last
+  /// \return number of replicas that crashed with this request since it was
+  /// last answered
   size_t Crashes(const RequestDigest& aRequest) const;
-  /// \return whether a request is not to be run
+  /// \return whether a request must not be run
   bool Held(const RequestDigest& aRequest) const {
     return Crashes(aRequest) >= kCrashesToHold;
   }
-  /// \return how long a request is still held; 0 if it is not
+  /// \return how long a request is still held; 0 if it is not held
   Millis HeldFor(const RequestDigest& aRequest, int64_t aNowMs) const;
 
-  /// \return number of the last change, to be told from
+  /// \return sequence number of the last change, to pass to Since()
   int64_t Number() const { return mNumber; }
-  /// \return what changed after a number
+  /// \return the records that changed after a sequence number
   std::vector<CrashRecord> Since(int64_t aNumber) const;
-  /// \return own records that are not in the store yet, some at a time
-  std::vector<CrashRecord> Unsaved(size_t aMost) const;
-  /// \return whether some of them are not marks that records are cleared
+  /// \return records of this host that are not in the store yet, at most aLimit
+  std::vector<CrashRecord> Unsaved(size_t aLimit) const;
+  /// \return whether any unsaved record is a crash and not only a cleared mark
   bool UnsavedIsUrgent() const;
-  /// These are in the store, as they were given out.
+  /// Marks records as saved, if they have not changed since Unsaved() returned
+  /// them.
   void MarkSaved(const std::vector<CrashRecord>& aRecords);
   /// \return all requests with records that are not cleared
   std::vector<Suspect> Suspects() const;
@@ -128,15 +136,18 @@
   };
   struct Entry {
     CrashRecord mRecord;
-    int64_t mNumber = 0;    ///< of its last change
-    bool mUnsaved = false;  ///< to be written to the store by this host
+    int64_t mNumber = 0;    ///< sequence number of its last change
+    bool mUnsaved = false;  ///< this host must write it to the store
   };
   using Entries = std::map<Key, Entry>;
-  /// Calls an action with each record of a request that is not cleared.
+  /// Calls aAction with each record of a request that is not cleared.
   template <class Action>
-  void ForOpenRecords(const RequestDigest& aRequest, Action aAction) const;
-  /// Adds a record or the mark that it is cleared. \return whether it is news
-  bool Take(const CrashRecord& aRecord, bool aOwn);
+  void ForEachUnclearedRecord(const RequestDigest& aRequest,
+                              Action aAction) const;
+  /// Adds a record or its cleared mark.
+  /// \param aLocal whether this host made the change
+  /// \return whether that changed anything
+  bool Apply(const CrashRecord& aRecord, bool aLocal);
   Entries::iterator Erase(Entries::iterator aAt);
   void Evict();
 
--- a/src/include/rillwall/home_regions.h
+++ b/src/include/rillwall/home_regions.h
@@ -1,8 +1,8 @@
 /// \file
-/// The regions in which a request may be served, kept and passed on.
+/// Regions in which a request may be served.
 ///
-/// A route and a client account may each name regions; both bind. Replicas,
-/// hosts that own steps and calls for scores are held to them.
+/// A route and a client account may each list regions, and both restrictions
+/// apply. They apply to replicas, to hosts that own steps and to scoring calls.
 ///
 /// Pure: no I/O and no clock.
 
@@ -17,36 +17,39 @@
 
 namespace rillwall {
 
-/// Names of regions; nothing: any region will do.
+/// Names of the allowed regions; unset: any region.
 using AllowedRegions = std::optional<std::vector<std::string>>;
 
-/// The region of each availability zone.
+/// Region of each availability zone.
 using RegionMap = std::map<std::string, std::string>;
 
-/// \return the regions that both allow; an empty list if none does
-AllowedRegions BothAllow(const AllowedRegions& aOne,
-                         const AllowedRegions& aOther);
+/// \return the regions that both arguments allow; an empty list if there are
+/// none
+AllowedRegions IntersectRegions(const AllowedRegions& aOne,
+                                const AllowedRegions& aOther);
 
-/// \return where requests of a route and an account may be served
-/// \param aAccount its name; empty: none
+/// \param aAccount name of the client account, empty for none
+/// \return the regions in which requests of a route and an account may be
+/// served
 AllowedRegions RegionsOf(const RouteTable& aTable, const Route& aRoute,
                          const std::string& aAccount);
 
-/// \param aZone an availability zone; one of no known region is in none
-/// \return whether it lies in an allowed region
+/// \param aZone an availability zone; a zone without a known region is in no
+/// region
+/// \return whether the zone is in an allowed region
 bool InRegions(const AllowedRegions& aRegions, const RegionMap& aMap,
                const std::string& aZone);
 
-/// What an operator should know of a configuration that is in force although
-/// parts of it can't serve anybody.
+/// A problem in a configuration that is in force although parts of it cannot
+/// serve any request.
 struct ConfigWarning {
   std::string mField;
-  std::string mReason;  ///< with the remedy
+  std::string mReason;  ///< includes the remedy
   bool operator==(const ConfigWarning&) const = default;
 };
 
-/// \return regions that no zone has, routes that no region may serve, rates of
-/// cold replicas that let none through
+/// \return warnings about regions without a zone, accounts that no region of a
+/// route may serve, and services whose cold replicas have no rate set
 std::vector<ConfigWarning> ConfigWarnings(const RouteTable& aTable,
                                           const RegionMap& aMap);
 
--- a/src/include/rillwall/listing_plan.h
+++ b/src/include/rillwall/listing_plan.h
@@ -1,9 +1,10 @@
 /// \file
-/// When the owner of a step writes finished results to the store.
+/// Decides when the owner of a step writes finished results to the store.
 ///
-/// Each write is a priced call, and a trainer goes on only when a number of
-/// groups is whole. So results are gathered while it has to wait anyway, and
-/// written at once when it does not. Pure: spans are arguments.
+/// Each write is a billed call, and a trainer continues only when a number of
+/// groups is complete. Results are therefore collected while the trainer has to
+/// wait anyway, and written at once when it can continue. Pure: durations are
+/// arguments.
 
 #pragma once
 
@@ -13,17 +14,18 @@
 
 namespace rillwall {
 
-/// What the plan looks at.
+/// Inputs of the decision.
 struct ListingState {
-  bool mAllEnded = false;       ///< nothing of the step is left to do
-  bool mTargetReached = false;  ///< the trainer has what it waits for
-  bool mTargetReachedAtLastWrite = false;  ///< that was so at the last write
-  Millis mWaited;        ///< since the oldest unwritten result ended
-  bool mHasDue = false;  ///< the step's results are due at some time
-  Millis mPastDue;       ///< since then; negative before it
+  bool mAllEnded = false;  ///< no item of the step is left to run
+  /// The trainer has the number of groups that it waits for.
+  bool mTargetReached = false;
+  bool mTargetReachedAtLastWrite = false;  ///< value at the last write
+  Millis mWaited;        ///< time since the oldest unwritten result finished
+  bool mHasDue = false;  ///< the results of the step have a due time
+  Millis mPastDue;       ///< time since the due time; negative before it
 };
 
-/// \return whether the results at hand are to be written now
+/// \return whether the collected results should be written now
 bool ShouldWriteResults(const ListingState& aState);
 
 }  // namespace rillwall
--- a/src/include/rillwall/load_plan.h
+++ b/src/include/rillwall/load_plan.h
@@ -1,16 +1,18 @@
 /// \file
-/// Which replica loads which weights next.
+/// Decides which replica loads which model weights next.
 ///
-/// Replicas of one service may serve several models, each with weights of its
-/// own. A load takes about a second and ends the runs of its model there; only
-/// few may go on at once. A step mostly takes weights of some versions before
-/// the newest too, so a load serves several steps. The plan therefore rotates:
-/// each version goes to replicas whose weights of that model are of no use any
-/// more, which run nothing of it, while those with a version before go on
-/// serving.
+/// The replicas of one service may serve several models, each with its own
+/// weights. A load takes about a second and ends the runs of that model on the
+/// replica, and only a few loads may run at the same time. Most steps also
+/// accept weights that are some versions behind the newest, so that one load
+/// serves several steps. The plan therefore rotates: each new version goes to
+/// replicas whose weights of that model are too old to be usable and which
+/// therefore run nothing of it, while replicas with the previous version
+/// continue to serve.
 ///
-/// A version is loaded by as many replicas as its steps need, however many
-/// there are. A plan costs R times models for each load that it orders.
+/// A version is loaded onto as many replicas as its steps need, independent of
+/// how many replicas there are. With R replicas, a plan costs R times the
+/// number of models for each load that it starts.
 ///
 /// Pure: no state, no I/O and no clock.
 
@@ -27,53 +29,56 @@
 
 namespace rillwall {
 
-/// A model whose trainer has named a version.
+/// A model for which a trainer has named a version.
 struct LoadTarget {
   std::string mModel;
-  int64_t mVersion = 0;     ///< the newest that was named
-  double mDemand = 0;       ///< work of its recent steps, in any one unit
+  int64_t mVersion = 0;  ///< newest version that was named
+  /// Work of its recent steps; any unit, the same for all models.
+  double mDemand = 0;
   bool mAbortRuns = true;   ///< a load may end running streams
-  int64_t mAllowedLag = 1;  ///< versions by which usable weights may be behind
-  /// Texts of a step that run side by side; 0: unknown.
+  int64_t mAllowedLag = 1;  ///< versions that usable weights may be behind
+  /// Texts of a step that run concurrently; 0: unknown.
   int64_t mTexts = 0;
 };
 
-/// \param aSlots texts that a replica runs at once
-/// \return replicas that a version needs: twice the room for all texts of a
-/// step
+/// \param aSlots texts that a replica runs concurrently
+/// \return replicas that a version needs: enough for twice the texts of a step
 size_t ReplicasFor(const LoadTarget& aTarget, int64_t aSlots);
 
-/// What the steps of one model allow, learnt from those that came.
+/// Learns from the steps of a model how many versions its weights may be
+/// behind.
 class AllowedLag {
  public:
-  /// \param aNamed newest version when the step came
-  /// \param aMinVersion oldest that it takes
+  /// \param aNamed newest named version when the step arrived
+  /// \param aMinVersion oldest version that the step accepts
   void Observe(int64_t aNamed, int64_t aMinVersion);
-  /// \return versions by which weights may be behind the newest
+  /// \return versions that weights may be behind the newest
   int64_t Versions() const;
 
  private:
-  std::deque<int64_t> mRecent;  ///< of the last steps
+  std::deque<int64_t> mRecent;  ///< lags of the most recent steps
 };
 
-/// One replica as the plan sees it.
+/// State of one replica, as the input of a plan.
 struct LoadCandidate {
   std::string mId;
   std::vector<ModelVersion> mVersions;
-  std::map<std::string, int64_t> mRuns;  ///< by model, those of this node
-  int64_t mInFlight = 0;                 ///< requests of all kinds
+  /// Running requests of this node, by model.
+  std::map<std::string, int64_t> mRuns;
+  int64_t mInFlight = 0;  ///< requests of all kinds
   int64_t mSlots = 0;
-  double mPace = 1;  ///< ms an event against the service's median
+  double mPace = 1;  ///< time per event relative to the median of the service
   std::optional<ModelVersion> mLoading;
   bool mDraining = false;
-  bool mFailing = false;  ///< it gave no answer lately
+  bool mFailing = false;  ///< it recently failed to answer
 
-  /// \return the version that it serves, or will once its load has ended
+  /// \return the version that the replica serves, or will serve after its
+  /// current load
   int64_t VersionOf(const std::string& aModel) const;
   int64_t RunsOf(const std::string& aModel) const;
 };
 
-/// A load to be ordered now.
+/// A load that should start now.
 struct PlannedLoad {
   std::string mReplica;
   std::string mModel;
@@ -83,11 +88,12 @@
 };
 
 /// \param aReplicas all replicas of one service
-/// \param aTargets its models with a named version
-/// \param aAtOnce loads that may go on at the same time
-/// \return the loads to start now, the most urgent first
+/// \param aTargets models of the service that have a named version
+/// \param aMaxConcurrent loads that may run at the same time, including those
+/// in progress
+/// \return the loads to start now, most urgent first
 std::vector<PlannedLoad> PlanLoads(std::vector<LoadCandidate> aReplicas,
                                    const std::vector<LoadTarget>& aTargets,
-                                   size_t aAtOnce);
+                                   size_t aMaxConcurrent);
 
 }  // namespace rillwall
--- a/src/include/rillwall/move_plan.h
+++ b/src/include/rillwall/move_plan.h
@@ -1,9 +1,10 @@
 /// \file
-/// Which running texts of a step go on at a faster replica now.
+/// Selects the running texts of a step that should move to a faster replica.
 ///
-/// Pure: no I/O and no clock. The replicas to go to are looked up once for all
-/// texts of one service, so that a look at S texts costs S and not S times the
-/// replicas: owners look ten times a second at all texts that they run.
+/// Pure: no I/O and no clock. The target replicas are looked up once for all
+/// texts of a service, so that a plan for S texts costs O(S) and not S times
+/// the number of replicas: owners check all their running texts ten times a
+/// second.
 
 #pragma once
 
@@ -19,26 +20,29 @@
 /// A text that is being generated.
 struct RunningText {
   size_t mItem = 0;
-  std::string mService;   ///< that its route allows
-  std::string mReplica;   ///< where it runs
-  int64_t mEvents = 0;    ///< that it has
-  int64_t mExpected = 0;  ///< of the whole text by its hint; 0: unknown
+  std::string mService;  ///< service that the route allows
+  std::string mReplica;  ///< replica that generates it
+  int64_t mEvents = 0;   ///< events received so far
+  /// Events of the complete text according to its hint; 0: unknown.
+  int64_t mExpected = 0;
   bool operator==(const RunningText&) const = default;
 };
 
-/// A text that is to go on elsewhere.
+/// A text that should continue at another replica.
 struct PlannedMove {
   size_t mItem = 0;
-  TextMove mMove;  ///< what decided it
+  TextMove mMove;  ///< the values that led to the decision
 };
 
-/// \param aTexts of one step
-/// \param aWish what its texts ask of a replica; the service comes from each
-/// \param aMost moves at this look; the next one sees the slots that these take
-/// \return the moves that gain most, the best first
+/// \param aTexts running texts of one step
+/// \param aRequirements requirements of the texts on a replica; the service is
+/// taken from each text
+/// \param aMaxMoves limit of moves per call; the next call accounts for the
+/// slots that these take
+/// \return the most profitable moves, best first
 std::vector<PlannedMove> PlanMoves(const std::vector<RunningText>& aTexts,
                                    const ReplicaPool& aReplicas,
-                                   ReplicaRequirements aWish, size_t aMost,
-                                   Millis aNow);
+                                   ReplicaRequirements aRequirements,
+                                   size_t aMaxMoves, Millis aNow);
 
 }  // namespace rillwall
--- a/src/include/rillwall/node_directory.h
+++ b/src/include/rillwall/node_directory.h
@@ -1,17 +1,18 @@
 /// \file
-/// The other nodes, as far as this one has heard of them.
+/// The other nodes that this node knows of.
 ///
-/// Nodes ask the lead what is new, several times within a second each; so it
-/// knows which nodes there are, and tells each of them some of these. The list
-/// is no membership: nobody counts on a node that it names. It serves to find
-/// nodes that pass calls on to the store, and the candidates for the lead while
-/// there is none, for both of which a dozen is enough. So what is told does not
-/// grow with the number of nodes, and is told again only when one of those
-/// named comes or goes.
+/// Nodes regularly ask the lead, the elected leader, for updates. The lead
+/// therefore knows which nodes exist, and tells each node about some of them.
+/// The list is not a membership: nothing relies on a listed node being alive.
+/// It is used to find nodes that relay calls to the store, and to find the
+/// candidates for the lead while there is none. A dozen nodes are enough for
+/// both. The size of what is told therefore does not grow with the number of
+/// nodes, and it is sent again only when one of the listed nodes is added or
+/// removed.
 ///
-/// With H nodes, one that asks again costs a lookup, a new one log H; nodes
-/// that went silent are looked for once a second, in H.
-/// Pure: the instant is an argument.
+/// With H nodes, a contact of a known node costs a lookup and one of a new node
+/// O(log H). Silent nodes are removed once a second, in O(H). Pure: the current
+/// time is an argument.
 
 #pragma once
 
@@ -26,67 +27,70 @@
 
 /// One node.
 struct NodeEntry {
-  std::string mAddress;  ///< where it answers other nodes, ip:port
+  std::string mAddress;  ///< address for other nodes, ip:port
   bool mTakesClients = false;
-  std::string mZone;  ///< availability zone; empty: not told
+  std::string mZone;  ///< availability zone; empty if unknown
   bool operator==(const NodeEntry&) const = default;
 };
 
+/// Nodes known to this node, and the subset of them that it tells others.
 class NodeDirectory {
  public:
-  /// A node has asked this one.
+  /// Records that a node has contacted this one.
   void RecordContact(const NodeEntry& aNode, Millis aNow);
-  /// Takes over another node's list, in place of this one's.
+  /// Replaces the list with that of another node.
   void Adopt(const std::vector<NodeEntry>& aNodes, Millis aNow);
-  /// \return nodes in the order of their addresses, without those that were
-  /// silent while others were heard
+  /// \return known nodes by address, without nodes that were silent while
+  /// others made contact
   std::vector<NodeEntry> List() const;
-  /// \return the nodes that others are told: all of them, or a fixed choice
-  /// among many, of each kind
+  /// \return the nodes that other nodes are told: all of them, or a fixed
+  /// subset of each kind if there are many
   std::vector<NodeEntry> Told() const;
-  /// \return hosts that take clients among those heard of, rounded up so that
-  /// it seldom changes
+  /// \return number of known hosts that take clients, rounded up so that it
+  /// rarely changes
   size_t Hosts() const;
-  /// \return whether List() names it
+  /// \return whether List() contains the node
   bool Knows(const std::string& aAddress) const;
-  /// \return a number that differs if Told() does
+  /// \return a hash of the nodes that Told() returns
   uint64_t Tag() const { return mTag; }
-  /// \param aSelf left out
-  /// \return addresses to pass calls through: entry hosts first, since a host
-  /// with a disk that is cut off is most often cut off from the others too
+  /// \param aSelf address to leave out
+  /// \return addresses of nodes that can relay calls. Entry hosts come first,
+  /// because a host with a disk that cannot reach this node usually cannot
+  /// reach the other hosts with a disk either
   std::vector<std::string> Relays(const std::string& aSelf) const;
   /// \return addresses of the candidates for the lead
   std::vector<std::string> Candidates(const std::string& aSelf) const;
-  /// \return those of them in an availability zone
+  /// \return addresses of the candidates in an availability zone
   std::vector<std::string> CandidatesIn(const std::string& aZone,
                                         const std::string& aSelf) const;
-  /// Candidates that another node names; what is known of others stays.
+  /// Adds candidates that another node named. Other known nodes are kept.
   void AddCandidates(const std::vector<NodeEntry>& aNodes, Millis aNow);
 
  private:
   struct State {
     bool mTakesClients = false;
     std::string mZone;
-    Millis mHeardAt;
+    Millis mLastContact;
   };
-  /// Chosen by the hash of their addresses, which spreads them over the
-  /// availability zones and stays the same whoever chooses.
-  using Choice = std::map<uint64_t, NodeEntry>;
+  /// Nodes ordered by the hash of their address. The hash spreads the selected
+  /// nodes over the availability zones, and every node selects the same ones.
+  using NodesByHash = std::map<uint64_t, NodeEntry>;
 
-  /// Names a node to others if it comes before those named so far.
+  /// Adds a node to those that others are told, if its hash is among the
+  /// lowest.
   void Consider(const NodeEntry& aNode);
-  /// Removes the nodes that have gone silent.
+  /// Removes nodes that have become silent.
   void ForgetSilent();
   void Rebuild();
   void UpdateTag();
 
   std::map<std::string, State> mNodes;  ///< by address
-  size_t mHosts = 0;                    ///< of these, those that take clients
-  Choice mToldEntries;                  ///< hosts that take clients
-  Choice mToldOthers;
+  size_t mHosts = 0;                    ///< nodes in mNodes that take clients
+  NodesByHash mToldEntries;             ///< hosts that take clients
+  NodesByHash mToldOthers;
   uint64_t mTag = 0;
-  Millis mNewest;   ///< when the last node was heard of
-  Millis mSweptAt;  ///< when silent ones were looked for
+  Millis mNewestContact;  ///< time of the latest contact of any node
+  Millis mLastSweep;      ///< last time silent nodes were removed
 };
 
 }  // namespace rillwall
--- a/src/include/rillwall/registry_table.h
+++ b/src/include/rillwall/registry_table.h
@@ -1,19 +1,19 @@
 /// \file
-/// All replicas that the registry lists, as a host that reads it keeps them,
-/// and the choice of those that one host needs to know.
+/// All replicas of the registry, as kept by a host that reads the registry, and
+/// the selection of those that one host needs to know.
 ///
-/// A host needs replicas by its demand, not by how many there are. So of a
-/// service with many replicas each host is told a subset: some of its own
-/// availability zone and fewer of the others, beginning at a place on a ring of
-/// hashes that its name decides. Subsets of different hosts overlap little, so
-/// that each replica has about as many hosts; a replica that comes or goes
-/// changes the subsets of its neighbours on the ring only. Owners of steps all
-/// use the replicas that come first on the ring: a new owner finds the weights
-/// where the one before it had them loaded.
+/// The number of replicas that a host needs depends on its own load, not on the
+/// size of the service. Of a service with many replicas, each host is therefore
+/// told a subset: some replicas of its own availability zone and fewer of the
+/// others, starting at a position on a hash ring that is derived from the name
+/// of the host. Subsets of different hosts overlap little, so that each replica
+/// is used by about the same number of hosts. A replica that is added or
+/// removed changes only the subsets that include its neighbors on the ring.
+/// Owners of steps all use the first replicas of the ring, so that a new owner
+/// finds the weights loaded where its predecessor had them.
 ///
-/// With R replicas, a change costs log R, a subset of K costs K + log R, and
-/// nothing is kept for a host that asks.
-/// Pure: no I/O and no clock.
+/// With R replicas, a change costs O(log R) and a subset of K replicas O(K +
+/// log R). No state is kept per requesting host. Pure: no I/O and no clock.
 
 #pragma once
 
@@ -29,63 +29,68 @@
 
 namespace rillwall {
 
-/// One entry of the registry as it was read.
+/// One entry of the registry.
 struct RegistryEntry {
   std::string mId;
   int64_t mRevision = 0;
-  /// Nothing: it names no replica to use.
+  /// Unset if the entry names no usable replica.
   std::optional<Replica> mReplica;
   bool operator==(const RegistryEntry&) const = default;
 };
 
-/// Who asks for a subset.
-struct SubsetQuestion {
-  std::string mHost;  ///< its name or address; the same each time
-  std::string mZone;  ///< availability zone
-  bool operator==(const SubsetQuestion&) const = default;
+/// Identifies the host that requests a subset.
+struct SubsetRequest {
+  /// Name or address of the host; must not change between requests.
+  std::string mHost;
+  std::string mZone;  ///< availability zone of the host
+  bool operator==(const SubsetRequest&) const = default;
 };
 
+/// Registry entries, and the subsets of their replicas for single hosts.
 class RegistryTable {
  public:
-  /// Replicas of one service that every host may know.
+  /// Largest service of which every host is told all replicas.
   static constexpr size_t kFullListLimit = 128;
-  /// Replicas of a larger service that a host is told: enough for the texts or
-  /// requests of one host many times over, and for the loss of its zone.
+  /// Replicas of a larger service that a host is told: many times what the
+  /// texts or requests of one host need, also after the loss of its zone.
   static constexpr size_t kDefaultSubset = 32;
 
   RegistryTable() = default;
   RegistryTable(const RegistryTable&) = delete;
   RegistryTable& operator=(const RegistryTable&) = delete;
 
-  /// Takes in a whole listing.
-  /// \param aKeepMissing entries that it lacks are kept for now, since the
-  /// registry has just come back and live replicas register again
+  /// Replaces all entries with a complete listing.
+  /// \param aKeepMissing keep entries that the listing lacks for now, because
+  /// the registry has just recovered and live replicas register again
   void TakeAll(std::vector<RegistryEntry> aEntries, bool aKeepMissing);
-  /// Takes in an entry that was written. An older revision changes nothing.
+  /// Adds or updates an entry. An older revision is ignored.
   void Put(RegistryEntry aEntry);
-  /// Takes in that an entry was removed.
-  /// \param aRevision of the removal; one that was written since stays
+  /// Handles the removal of an entry.
+  /// \param aRevision revision of the removal; an entry that was written later
+  /// stays
+  /// \param aKeepMissing keep the entry until DropMissing()
   void Remove(const std::string& aId, int64_t aRevision, bool aKeepMissing);
-  /// Entries that were kept although they are missing go now.
+  /// Removes the entries that were kept although they are missing.
   void DropMissing();
   void Clear();
 
-  /// \return the entry as it is known, or null
+  /// \return the entry with an id, or null
   const RegistryEntry* Find(const std::string& aId) const;
-  /// \return entries, those that name no replica among them
+  /// \return number of entries, including those that name no replica
   size_t Size() const { return mEntries.size(); }
-  /// \return a number that grows with each change of a replica
+  /// \return a counter that increases with each change of a replica
   uint64_t Changes() const { return mChanges; }
-  /// \return whether some service has more replicas than every host may know
+  /// \return whether any service is too large to be told to every host in full
   bool Large() const;
   std::vector<Replica> All() const;
 
-  /// \return what a host is told: services that are small enough whole, of the
-  /// others its subset without replicas that leave
-  std::vector<Replica> SubsetFor(const SubsetQuestion& aQuestion) const;
-  /// \return the replicas that owners of steps use: the first of each service
-  /// on the ring, without those that leave
-  /// \param aWanted by service; of one that is not named the usual subset
+  /// \return the replicas that a host is told: small services in full, and a
+  /// subset without draining replicas of the others
+  std::vector<Replica> SubsetFor(const SubsetRequest& aRequest) const;
+  /// \param aWanted number of replicas by service; at least kFullListLimit
+  /// replicas of each service are used
+  /// \return the replicas that owners of steps use: the first replicas of each
+  /// service on the ring, without draining ones
   std::vector<Replica> WorkingSet(
       const std::map<std::string, size_t>& aWanted) const;
 
@@ -95,18 +100,19 @@
     Ring mAll;
     std::map<std::string, Ring> mZones;
   };
-  void Link(const Replica& aReplica);
-  void Unlink(const Replica& aReplica);
+  void AddToRing(const Replica& aReplica);
+  void RemoveFromRing(const Replica& aReplica);
   void Erase(std::map<std::string, RegistryEntry>::iterator aAt);
-  static void TakeFrom(const Ring& aRing, uint64_t aFrom, size_t aWanted,
-                       std::vector<Replica>& aTaken);
-  static void AddSubset(const Service& aService,
-                        const SubsetQuestion& aQuestion,
-                        std::vector<Replica>& aTaken);
+  static void AppendFromRing(const Ring& aRing, uint64_t aFrom, size_t aWanted,
+                             std::vector<Replica>& aSelected);
+  static void AppendSubset(const Service& aService,
+                           const SubsetRequest& aRequest,
+                           std::vector<Replica>& aSelected);
 
   std::map<std::string, RegistryEntry> mEntries;  ///< by id
   std::map<std::string, Service> mServices;
-  std::set<std::string> mMissing;  ///< kept although they are not listed
+  /// Ids of entries that are kept although they are missing.
+  std::set<std::string> mMissing;
   uint64_t mChanges = 0;
 };
 
--- a/src/include/rillwall/replica_demand.h
+++ b/src/include/rillwall/replica_demand.h
@@ -1,10 +1,11 @@
 /// \file
-/// How many replicas of each service a host needs, by what it sends them.
+/// Estimates how many replicas of each service a host needs, from the requests
+/// that it sends.
 ///
-/// A host among very many replicas begins with the usual number and doubles it
-/// when half of the slots that it knows are taken. So what it knows follows its
-/// own requests, and not the size of the service.
-/// Pure: no I/O and no clock.
+/// A host of a large service starts with the default number of replicas and
+/// doubles it when more than half of the slots that it knows are taken. The
+/// number therefore follows the host's own requests and not the size of the
+/// service. Pure: no I/O and no clock.
 
 #pragma once
 
@@ -15,20 +16,22 @@
 
 namespace rillwall {
 
-/// How far the replicas of a service that a host knows are used.
+/// Utilization of the replicas of one service that a host knows.
 struct ServiceUse {
   size_t mReplicas = 0;
   int64_t mSlots = 0;
-  int64_t mTaken = 0;  ///< of these, by requests of all hosts as far as known
+  /// Slots in use by requests of all hosts, as far as known.
+  int64_t mTaken = 0;
   bool operator==(const ServiceUse&) const = default;
 };
 
+/// Number of replicas that a host needs, by service.
 class ReplicaDemand {
  public:
-  /// \param aUse by service
+  /// \param aUse utilization by service
   /// \return whether more replicas are needed than before
   bool Observe(const std::map<std::string, ServiceUse>& aUse);
-  /// Raises numbers of replicas to what was observed.
+  /// Raises the numbers of wanted replicas to the observed demand.
   void Raise(std::map<std::string, size_t>& aWanted) const;
 
  private:
--- a/src/include/rillwall/replica_log.h
+++ b/src/include/rillwall/replica_log.h
@@ -1,12 +1,13 @@
 /// \file
-/// The replicas that one node lists, numbered by change, so that other nodes
-/// are told only what they lack.
+/// Change log of the replicas that one node lists, so that other nodes receive
+/// only what they lack.
 ///
-/// Pure: no I/O and no clock. Numbers are comparable within one run of the
-/// node that gives them. Across runs a digest of the whole list tells that a
-/// listener has it already: after a change of the lead, nobody is told again
-/// what has stayed the same. The digest also shows a listener that it has
-/// missed or misread something; it then asks for the whole list.
+/// Pure: no I/O and no clock. Sequence numbers are comparable within one run of
+/// the node that assigns them. Across runs, a digest of the whole list shows
+/// that a listener already has it, so that after a change of the lead (the
+/// elected leader) an unchanged list is not sent again. The digest also shows a
+/// listener that it missed or misread a change; it then requests the whole
+/// list.
 
 #pragma once
 
@@ -20,47 +21,49 @@
 
 namespace rillwall {
 
-/// What brings a listener up to date.
+/// Update that brings a listener up to date.
 struct ReplicaDelta {
-  int64_t mNumber = 0;             ///< of the newest change in it
-  bool mFull = false;              ///< it lists all replicas there are
-  std::vector<Replica> mChanged;   ///< new ones among them
-  std::vector<std::string> mGone;  ///< ids; empty if mFull
-  uint64_t mDigest = 0;            ///< of the list that it leads to
+  int64_t mNumber = 0;  ///< sequence number of the newest change in it
+  bool mFull = false;   ///< it contains all replicas
+  std::vector<Replica> mChanged;   ///< added and changed replicas
+  std::vector<std::string> mGone;  ///< ids of removed replicas; empty if mFull
+  uint64_t mDigest = 0;            ///< digest of the resulting list
   bool operator==(const ReplicaDelta&) const = default;
 };
 
-/// \return a number that differs, with overwhelming likelihood, if any field
-/// does; the digest of a list is the sum of those of its replicas
+/// \return a digest that, with overwhelming probability, differs if any field
+/// differs. The digest of a list is the sum of the digests of its replicas
 uint64_t DigestOf(const Replica& aReplica);
 
-/// The same list without the weight versions. They change many times a second
-/// and concern only those who own steps.
+/// \return the list without weight versions, which change many times a second
+/// and matter only to owners of steps
 std::vector<Replica> WithoutVersions(std::vector<Replica> aReplicas);
 
-/// What a listener has.
+/// State of a listener.
 struct ReplicaCursor {
-  int64_t mNumber = 0;   ///< newest change known; 0: none
-  uint64_t mDigest = 0;  ///< of its list; 0: it has none
+  int64_t mNumber = 0;   ///< newest known change; 0: none
+  uint64_t mDigest = 0;  ///< digest of its list; 0: it has none
   // clang-tidy 14 takes the 0 of a rewritten comparison for a null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   auto operator<=>(const ReplicaCursor&) const = default;
 };
 
-/// The giver's side.
+/// Sender's side: the replicas and when each of them changed.
 class ReplicaLog {
  public:
-  /// Takes in all replicas that there are.
+  /// Replaces the replicas with a complete list.
   void Take(const std::vector<Replica>& aReplicas);
-  /// \param aMark of the listener; its number is 0 if another run gave it
-  ReplicaDelta Since(const ReplicaCursor& aMark) const;
-  /// \return the newest change
+  /// \param aCursor state of the listener; its number must be 0 if another run
+  /// assigned it
+  /// \return the update for the listener
+  ReplicaDelta Since(const ReplicaCursor& aCursor) const;
+  /// \return sequence number of the newest change
   int64_t Number() const { return mNumber; }
 
  private:
   struct Entry {
     Replica mReplica;
-    int64_t mNumber = 0;  ///< of its last change
+    int64_t mNumber = 0;  ///< sequence number of its last change
   };
   struct Removal {
     std::string mId;
@@ -68,17 +71,19 @@
   };
   int64_t mNumber = 0;
   uint64_t mDigest = 0;
-  int64_t mForgotten = 0;  ///< removals up to this number are not known
+  /// Removals up to this sequence number are no longer known.
+  int64_t mForgottenUpTo = 0;
   std::map<std::string, Entry> mEntries;
   std::deque<Removal> mRemovals;
 };
 
-/// The listener's side.
+/// Listener's side: a copy of the sender's replicas.
 class ReplicaMirror {
  public:
-  /// \param aRun of the node that gave it
-  /// \return false if the list differs from the giver's: nothing is kept, and
-  /// the whole list is to be asked for
+  /// Applies an update.
+  /// \param aRun run of the node that sent it
+  /// \return false if the resulting list differs from the sender's. The copy is
+  /// then cleared, and the whole list must be requested
   bool Take(const std::string& aRun, const ReplicaDelta& aDelta);
   const std::string& Run() const { return mRun; }
   ReplicaCursor Cursor() const { return {mNumber, mDigest}; }
--- a/src/include/rillwall/replica_pace.h
+++ b/src/include/rillwall/replica_pace.h
@@ -1,10 +1,10 @@
 /// \file
-/// How fast one replica generates, from the events of the streams it runs.
+/// Measures how fast one replica generates, from the events of its streams.
 ///
-/// A replica's batch is read in prompts between events, so single gaps differ
-/// by several times; the pace is therefore smoothed over time, not over events,
-/// of which a full replica sends some 300 a second. What a replica was seen to
-/// do for long is kept beside it, for the time when it runs nothing.
+/// A replica reads prompts between the events of its batch, so that single gaps
+/// between events differ by several times. The pace is therefore smoothed over
+/// time and not over events, of which a full replica sends some 300 a second. A
+/// long-term pace is kept as well, for times when the replica runs nothing.
 /// Pure: no I/O and no clock.
 
 #pragma once
@@ -13,19 +13,20 @@
 
 namespace rillwall {
 
+/// Smoothed time per event of one replica.
 class ReplicaPace {
  public:
-  /// Takes in the time between two events of one stream.
-  /// \param aMsPerEvent in ms
+  /// Adds a measurement.
+  /// \param aMsPerEvent time between two events of one stream, in ms
   void Observe(double aMsPerEvent, Millis aNow);
-  /// \return ms an event, as of now or as usual if it was not measured lately;
-  /// 0 if it never was
+  /// \return ms per event: the recent pace, or the long-term pace if there is
+  /// no recent measurement; 0 if there never was one
   double At(Millis aNow) const;
 
  private:
-  double mRecent = 0;  ///< ms an event, smoothed; 0: never measured
-  double mUsual = 0;   ///< the same over a longer time
-  Millis mAt;          ///< of the last measurement
+  double mRecent = 0;  ///< smoothed ms per event; 0: never measured
+  double mUsual = 0;   ///< ms per event, smoothed over a longer time
+  Millis mAt;          ///< time of the last measurement
 };
 
 }  // namespace rillwall
--- a/src/include/rillwall/replica_pool.h
+++ b/src/include/rillwall/replica_pool.h
@@ -1,17 +1,18 @@
 /// \file
-/// The replicas of all services as this node knows them, and the choice of one
-/// for a request.
+/// The replicas of all services as this node knows them, and the choice of a
+/// replica for a request.
 ///
-/// Pure: the instant is an argument. Entries come from the registry in whole
-/// snapshots; what this node saw itself (requests in flight, failures, speed)
-/// is kept beside them. Used on one thread.
+/// Pure: the current time is an argument. Entries come from the registry in
+/// complete snapshots; what this node observed itself (requests in flight,
+/// failures, speed) is stored beside them. Not thread-safe: use it on one
+/// thread.
 ///
-/// What a call costs, with R replicas of the service in question and F of them
-/// with a free slot: a choice among free slots takes the first that suits,
-/// which is one of the cheapest few of F; a choice for a plain request looks at
-/// R; paces are lookups. The median pace and the order by cost are worked out
-/// anew in R log R, at most once in kRankAge. Owners ask thousands of times a
-/// second whether there is room while all slots are taken.
+/// Costs, with R replicas of the service and F of them with a free slot:
+/// Choose() with mNeedsFreeSlot takes the first eligible replica in order of
+/// cost, one of the cheapest few of F. For a plain request it checks all R
+/// replicas. Paces are lookups. The median pace and the order by cost are
+/// recomputed in O(R log R), at most once per kRankMaxAge, because owners ask
+/// for a free slot thousands of times a second while all slots are taken.
 
 #pragma once
 
@@ -31,130 +32,142 @@
 
 namespace rillwall {
 
-/// The weight version of one model on a replica.
+/// Weight version of one model on a replica.
 struct ModelVersion {
   std::string mModel;
   int64_t mVersion = 0;
   bool operator==(const ModelVersion&) const = default;
 };
 
-/// One replica as the registry lists it.
+/// One replica as listed in the registry.
 struct Replica {
   std::string mId;  ///< a restarted replica may keep it; see mStartedAtMs
   std::string mService;
   std::string mAddress;      ///< ip:port
   std::string mZone;         ///< availability zone
-  int64_t mSlots = 1;        ///< requests that it runs at once
-  int64_t mStartedAtMs = 0;  ///< its start, in ms since 1970; 0: not told
+  int64_t mSlots = 1;        ///< requests that it runs concurrently
+  int64_t mStartedAtMs = 0;  ///< start time in ms since 1970; 0: unknown
   bool mDraining = false;
   std::vector<ModelVersion> mModels;
-  bool mCold = false;  ///< it takes few requests a second for now
+  bool mCold = false;  ///< it currently accepts only few requests a second
 
-  /// \return the version of a model, 0 if it does not serve it
+  /// \return the version of a model, 0 if the replica does not serve it
   int64_t VersionOf(std::string_view aModel) const;
   bool operator==(const Replica&) const = default;
 };
 
-/// How one request at a replica ended.
+/// Outcome of one request at a replica.
 enum class ReplicaOutcome {
-  Served,       ///< a whole answer, whatever its status
-  Refused,      ///< said that it did not run the request
-  Failed,       ///< closed, reset or spoiled the answer
-  Unreachable,  ///< no connection could be made in time
-  Abandoned,    ///< this node ended it; says nothing of the replica
+  Served,       ///< a complete response, whatever its status
+  Refused,      ///< the replica reported that it did not run the request
+  Failed,       ///< the replica closed, reset or corrupted the response
+  Unreachable,  ///< no connection was established in time
+  Abandoned,    ///< canceled by this node; says nothing about the replica
 };
 
-/// What a request asks of its replica.
+/// Requirements of a request on its replica.
 struct ReplicaRequirements {
   std::string mService;
-  std::string mZone;                   ///< availability zone of this node
-  std::vector<std::string> mExcluded;  ///< ids that were tried already
-  std::string mModel;                  ///< empty: any
-  int64_t mMinVersion = 0;             ///< oldest weights that may serve it
-  bool mNeedsFreeSlot = false;         ///< only a replica with a free slot
-  AllowedRegions mRegions;             ///< only a replica in one of these
+  std::string mZone;  ///< availability zone of this node
+  /// Ids of replicas that were already tried.
+  std::vector<std::string> mExcluded;
+  std::string mModel;           ///< empty: any
+  int64_t mMinVersion = 0;      ///< oldest weight version that may serve it
+  bool mNeedsFreeSlot = false;  ///< only a replica with a free slot
+  AllowedRegions mRegions;      ///< only a replica in one of these regions
 };
 
-/// What the registry's newest snapshot changed.
+/// Changes made by the newest registry snapshot.
 struct ReplicaChanges {
   std::vector<std::string> mAdded;
-  std::vector<std::string> mRestarted;  ///< under the id that they had
+  /// With a known id and a new start time.
+  std::vector<std::string> mRestarted;
   std::vector<std::string> mDraining;
   std::vector<std::string> mGone;
 };
 
+/// Known replicas, their load and speed, and the choice among them.
 class ReplicaPool {
  public:
-  /// Takes in a whole snapshot of the registry. Of a replica that has started
-  /// again under its id everything is forgotten but the requests that this node
-  /// still has there; an entry of an earlier start changes nothing.
-  /// \param aKeepMissing keep entries that are missing for now, since the
-  /// registry has just come back and live replicas register again
+  /// Applies a complete snapshot of the registry. For a replica that restarted
+  /// under its id, all state is reset except the requests that this node still
+  /// has there. An entry of an earlier start is ignored.
+  /// \param aKeepMissing keep entries that are missing for now, because the
+  /// registry has just recovered and live replicas register again
   ReplicaChanges Update(const std::vector<Replica>& aReplicas,
                         bool aKeepMissing);
 
-  /// The region of each availability zone.
+  /// Sets the region of each availability zone.
   void SetRegions(RegionMap aRegions) { mRegions = std::move(aRegions); }
   const RegionMap& Regions() const { return mRegions; }
-  /// Zones whose replicas get nothing new until they are named no more.
+  /// Sets the availability zones whose replicas get no new requests.
   /// \return whether that changes anything
   bool Evacuate(std::set<std::string> aZones);
   bool Evacuated(const std::string& aZone) const {
     return mEvacuated.contains(aZone);
   }
   const std::set<std::string>& EvacuatedZones() const { return mEvacuated; }
-  /// Hosts begin with different ones among replicas that are alike.
-  /// \param aFirst any number; not alike on all hosts
-  void SetTieBreakOffset(size_t aFirst) { mFirst = aFirst; }
-  /// This host's part of what cold replicas take.
+  /// Sets where this host starts in the list of replicas, so that different
+  /// hosts choose different replicas among equal ones.
+  /// \param aOffset any number; should differ between hosts
+  void SetTieBreakOffset(size_t aOffset) { mTieBreakOffset = aOffset; }
+  /// This host's share of the rate of cold replicas.
   ColdShare& Cold() { return mCold; }
-  /// \param aServices with the rates of their cold replicas
+  /// \param aServices services with the rates of their cold replicas
   void SetServices(const std::vector<ServiceSpec>& aServices);
 
-  /// \return the id of the replica to send to, or nothing if none may take it
-  std::optional<std::string> Choose(const ReplicaRequirements& aWish,
+  /// \return id of the replica to send the request to, or nothing if there is
+  /// none
+  std::optional<std::string> Choose(const ReplicaRequirements& aRequirements,
                                     Millis aNow) const;
   /// Counts a request that is about to be sent.
-  /// \param aModel whose weights serve it; empty: any
+  /// \param aModel model whose weights serve it; empty: any
   void Start(const std::string& aId, const std::string& aModel = {});
-  /// A request is sent now; a cold replica gets so many a second only.
+  /// Records that a request is sent now, for the rate limit of cold replicas.
   void Sent(const std::string& aId, Millis aNow);
-  /// \param aLatency of a served request, to its answer's head; else 0
-  /// \param aModel as it was at its start
+  /// Records the end of a request.
+  /// \param aLatency time until the response head, if the request was served;
+  /// else 0
+  /// \param aModel same value as passed to Start()
   void End(const std::string& aId, ReplicaOutcome aOutcome, Millis aLatency,
            Millis aNow, const std::string& aModel = {});
-  /// The replica takes no new request of this node until then.
+  /// Sends no new requests of this node to the replica until aUntil.
   void Pause(const std::string& aId, Millis aUntil);
-  /// The same for requests of one model only, as while its weights load.
+  /// Like Pause(), for requests of one model only, e.g. while its weights load.
   void PauseModel(const std::string& aId, const std::string& aModel,
                   Millis aUntil);
-  /// The replica takes requests again, whatever happened before.
+  /// Ends all pauses of the replica and resets its failure count.
   void Resume(const std::string& aId);
-  /// A replica told how many requests it runs and queues, those of this node
-  /// among them.
+  /// Records the load that a replica reported.
+  /// \param aRequests requests that it runs and queues, including those of this
+  /// node
   void ObserveLoad(const std::string& aId, int64_t aRequests, Millis aNow);
-  /// Measures the time between two events of a stream, in ms.
+  /// Records the time between two events of a stream, in ms.
   void ObservePace(const std::string& aId, double aMsPerEvent, Millis aNow);
-  /// \param aMore texts that are to be added there
-  /// \return ms an event of a text at the replica, 0 if unknown
-  double PaceAt(const std::string& aId, int64_t aMore, Millis aNow) const;
-  /// An answer or an order told the version that a replica serves now.
+  /// \param aExtraTexts number of texts that would be added there
+  /// \return ms per event of a text at the replica, 0 if unknown
+  double PaceAt(const std::string& aId, int64_t aExtraTexts, Millis aNow) const;
+  /// Records the version that a replica serves, as told by a response or an
+  /// order.
   void UpdateVersion(const std::string& aId, const std::string& aModel,
                      int64_t aVersion);
 
-  /// \return the entry, or null if it is not (or no longer) listed
+  /// \return the entry, or null if it is not listed
   const Replica* Find(const std::string& aId) const;
   int64_t InFlight(const std::string& aId) const;
-  /// \return this node's requests there by model, those without one left out
+  /// \return this node's requests at the replica by model, without requests
+  /// that have no model
   std::map<std::string, int64_t> RunsByModel(const std::string& aId) const;
-  /// \return its pace against the median of its service; 1 if unknown
+  /// \return pace of the replica relative to the median of its service; 1 if
+  /// unknown
   double RelativePace(const std::string& aId, Millis aNow) const;
-  /// \return whether its last request failed a moment ago
+  /// \return whether its last request failed and the resulting pause is not
+  /// over
   bool Failing(const std::string& aId, Millis aNow) const;
   std::vector<const Replica*> OfService(std::string_view aService) const;
-  /// \return all entries, as listed or with what was learned since
+  /// \return all entries, including versions learned since they were listed
   std::vector<Replica> All() const;
-  /// \return how far the replicas are used, by service
+  /// \return utilization of the replicas, by service
   std::map<std::string, ServiceUse> Use(Millis aNow) const;
   bool Empty() const { return mStates.empty(); }
   size_t Size() const { return mStates.size(); }
@@ -164,72 +177,74 @@
   struct State {
     Replica mReplica;
     Service* mService = nullptr;
-    size_t mIndex = 0;  ///< among the replicas of its service
+    size_t mIndex = 0;  ///< index among the replicas of its service
     int64_t mInFlight = 0;
-    std::map<std::string, int64_t> mRuns;  ///< of these, by model
-    int mFailures = 0;                     ///< in a row
+    std::map<std::string, int64_t> mRuns;  ///< requests in flight, by model
+    int mFailures = 0;                     ///< consecutive failures
     Millis mPausedUntil;
     std::map<std::string, Millis> mModelPauses;
-    double mLatency = 0;          ///< smoothed, in ms; 0: none measured
-    ReplicaPace mPace;            ///< of streams
-    int64_t mOthers = 0;          ///< requests there that other nodes sent
-    Millis mOthersAt;             ///< when it told so
-    double mRankedPace = 0;       ///< when it was ranked
-    std::optional<double> mRank;  ///< its cost, if it is among the free ones
-    SendWindow mColdSends;        ///< while it is cold
+    double mLatency = 0;              ///< smoothed, in ms; 0: none measured
+    ReplicaPace mPace;                ///< pace of its streams
+    int64_t mOtherNodesRequests = 0;  ///< requests of other nodes there
+    Millis mLoadReportedAt;           ///< when the replica reported that load
+    double mRankedPace = 0;           ///< pace at the time it was ranked
+    std::optional<double> mRank;      ///< cost while it has a free slot
+    SendWindow mColdSends;            ///< recent requests while it is cold
   };
-  /// One entry of the order by cost.
+  /// Entry of the order by cost.
   struct Rank {
     double mCost = 0;
     State* mState = nullptr;
     bool operator<(const Rank& aOther) const;
   };
-  /// What is kept up to date about the replicas of one service.
+  /// Derived data about the replicas of one service.
   struct Service {
-    std::vector<State*> mStates;  ///< in the order of their ids
-    std::set<Rank> mFree;         ///< those with a free slot, cheapest first
-    /// Availability zone of who asks for texts; a node asks for its own only.
+    std::vector<State*> mStates;  ///< in order of their ids
+    std::set<Rank> mFree;         ///< replicas with a free slot, cheapest first
+    /// Availability zone of the requesting node; a node asks only for its own
+    /// zone.
     std::string mZone;
-    double mTypicalPace = 0;  ///< the median, in ms an event; 0: unknown
+    /// Median of all replicas, in ms per event; 0: unknown.
+    double mTypicalPace = 0;
     Millis mRankedAt;
-    bool mOutdated = true;  ///< ranks are to be worked out before the next use
+    bool mOutdated = true;  ///< ranks must be recomputed before the next use
   };
-  /// \return requests at the replica, as far as this node knows
+  /// \return requests at the replica, as far as known
   static int64_t LoadOf(const State& aState, Millis aNow);
-  /// \return how loaded and slow it is, for the comparison; lower is better
-  static double Cost(const State& aState, const ReplicaRequirements& aWish,
-                     Millis aNow);
-  /// The same for a text, in parts of the typical time that an event takes.
+  /// \return cost of a plain request by load and latency; lower is better
+  static double Cost(const State& aState,
+                     const ReplicaRequirements& aRequirements, Millis aNow);
+  /// \return cost of a text, relative to the typical time per event
   static double TextCost(const State& aState, Millis aNow);
-  /// Puts a replica where it belongs in the order of its service.
-  static void PutInOrder(State& aState, Millis aNow);
-  /// Works out paces and order of a service anew, if they may be out of date.
-  static void BringUpToDate(Service& aService, Millis aNow);
+  /// Updates the position of a replica in the order of its service.
+  static void UpdateRank(State& aState, Millis aNow);
+  /// Recomputes the paces and the order of a service if they may be outdated.
+  static void RefreshRanks(Service& aService, Millis aNow);
   static double MedianPace(const Service& aService, Millis aNow);
-  /// \return the service of a state, up to date
-  static const Service& Current(const State& aState, Millis aNow);
-  std::optional<std::string> ChooseFree(const ReplicaRequirements& aWish,
-                                        Millis aNow) const;
-  std::optional<std::string> ChooseAny(const ReplicaRequirements& aWish,
+  /// \return the service of a replica, after RefreshRanks()
+  static const Service& RefreshedService(const State& aState, Millis aNow);
+  std::optional<std::string> ChooseFree(
+      const ReplicaRequirements& aRequirements, Millis aNow) const;
+  std::optional<std::string> ChooseAny(const ReplicaRequirements& aRequirements,
                                        Millis aNow) const;
   void IndexServices();
-  /// Takes in what the registry says of a replica that is known.
-  static void Renew(State& aState, const Replica& aReplica);
-  /// Forgets what its process before this one was like.
+  /// Updates a known replica from its registry entry.
+  static void RefreshEntry(State& aState, const Replica& aReplica);
+  /// Resets the state of a replica whose process has restarted.
   static void Restart(State& aState, const Replica& aReplica);
   State* Lookup(const std::string& aId);
-  static bool Paused(const State& aState, const ReplicaRequirements& aWish,
-                     Millis aNow);
-  bool Suits(const State& aState, const ReplicaRequirements& aWish,
-             Millis aNow) const;
-  /// \return requests that this host may send to a cold replica in a second
+  static bool Paused(const State& aState,
+                     const ReplicaRequirements& aRequirements, Millis aNow);
+  bool IsEligible(const State& aState, const ReplicaRequirements& aRequirements,
+                  Millis aNow) const;
+  /// \return requests per second that this host may send to a cold replica
   int64_t ColdLimit(const State& aState) const;
 
   std::map<std::string, State> mStates;
-  /// By name. Nodes of the map, which states refer to, stay where they are. Not
-  /// const to a choice, as that may have to bring the order up to date.
+  /// By name. Replica states point to the map nodes, which do not move. Mutable
+  /// because a choice may have to recompute the order.
   mutable std::map<std::string, Service, std::less<>> mServices;
-  size_t mFirst = 0;  ///< place of the first replica that is looked at
+  size_t mTieBreakOffset = 0;  ///< index of the first replica to consider
   RegionMap mRegions;
   std::set<std::string> mEvacuated;
   ColdShare mCold;
--- a/src/include/rillwall/usage_meter.h
+++ b/src/include/rillwall/usage_meter.h
@@ -1,21 +1,22 @@
 /// \file
-/// How many requests of each client account began to run, by window of time.
+/// Counts how many requests of each client account started to run, by time
+/// window.
 ///
-/// Every host that takes requests counts its own (UsageMeter) and tells the
-/// lead with its questions for the view: which costs no message, and bytes for
-/// accounts with news only. The lead keeps what hosts told, by the start of the
-/// process that told it (UsageTotals), and reports a window once: when every
-/// host that it hears from has told, or at the last safe moment.
+/// Every host that accepts requests counts its own (UsageMeter). It reports the
+/// counts to the lead, the elected leader, along with its questions for the
+/// view: that needs no extra message, and bytes only for accounts with new
+/// counts. The lead stores the counts by the process that reported them
+/// (UsageTotals), and reports each window once: when every host that it hears
+/// from has reported, or at the last moment before the report is due.
 ///
-/// Counts are told whole for a window, so that telling twice changes nothing,
-/// and kept by the host long enough to be told again to a lead that takes over.
-/// With H hosts, A accounts and W windows kept, a host tells A numbers a window
-/// at most and the lead keeps H x A x W of them; a report is made in H x A.
+/// Counts of a window are always reported in full, so that repeated reports are
+/// idempotent. Hosts retain them long enough to report them again to a new
+/// lead. With H hosts, A accounts and W retained windows, a host reports at
+/// most A numbers per window, the lead stores H x A x W of them, and a report
+/// costs O(H x A).
 ///
-/// What is lost: a host that is killed takes the counts since its last question
-/// along.
-///
-/// Pure: instants and the time of day are arguments.
+/// A host that is killed loses the counts since its last question. Pure: the
+/// current time and the time of day are arguments.
 
 #pragma once
 
@@ -28,12 +29,13 @@
 
 namespace rillwall {
 
-/// Requests by account.
+/// Number of requests by account.
 using AccountCounts = std::map<std::string, int64_t>;
-/// Counts by the number of a window: the time since 1970 in windows.
+/// Counts by window number, which is the time since 1970 divided by the window
+/// length.
 using WindowCounts = std::map<int64_t, AccountCounts>;
 
-/// Counts of one host.
+/// Counts the requests of one host.
 class UsageMeter {
  public:
   /// \param aWindow length of a window; 0: nothing is counted
@@ -41,57 +43,58 @@
   Millis Window() const { return mWindow; }
   bool Counts() const { return mWindow > Millis(0); }
   /// \param aWallMs time of day, in ms since 1970
+  /// \return number of the window that contains it
   int64_t WindowAt(int64_t aWallMs) const;
-  /// \return time of day at which a window ends
+  /// \return end of a window, in ms since 1970
   int64_t EndOf(int64_t aNumber) const;
 
-  /// A request of an account began to run.
+  /// Counts a request of an account that started to run.
   void Count(const std::string& aAccount, int64_t aWallMs);
 
-  /// \param aRun the lead's process; a new one is told everything anew
-  /// \return whole counts of the windows with news for it
+  /// \param aRun process of the lead; a new process is sent everything again
+  /// \return complete counts of the windows that have changed for it
   WindowCounts UnreportedCounts(const std::string& aRun);
-  /// The lead has taken in what Untold() gave out last.
+  /// Records that the lead has received the last result of UnreportedCounts().
   void Told();
-  /// \return whether the lead that was told last lacks nothing
+  /// \return whether the lead has received all counts
   bool AllReported() const;
 
  private:
-  struct Tally {
+  struct WindowTally {
     AccountCounts mCounts;
-    int64_t mChanges = 0;  ///< since the process began
-    int64_t mOffered = 0;  ///< changes in what Untold() gave out last
-    int64_t mTold = 0;     ///< changes that the lead knows
+    int64_t mChanges = 0;  ///< changes since the process started
+    /// Changes included in the last UnreportedCounts().
+    int64_t mLastReported = 0;
+    int64_t mAcknowledged = 0;  ///< changes that the lead has received
   };
   void Forget(int64_t aWallMs);
 
   Millis mWindow;
-  std::string mRun;  ///< of the lead that is told
-  std::map<int64_t, Tally> mTallies;
+  std::string mRun;  ///< process of the lead that the counts are reported to
+  std::map<int64_t, WindowTally> mTallies;
 };
 
-/// What the hosts have told.
+/// Counts reported by all hosts, as collected by the lead.
 class UsageTotals {
  public:
-  /// A host told its counts.
-  /// \param aRun its process
+  /// Stores the reported counts of a host.
+  /// \param aRun process of the host
   void Told(const std::string& aRun, const WindowCounts& aCounts);
-  /// A host has told all that it counted until now.
-  /// \param aAddress the host
+  /// Records that a host has reported everything that it counted until now.
+  /// \param aAddress address of the host
   void RecordContact(const std::string& aAddress, Millis aNow);
-  /// \param aSince instant
-  /// \return whether each host that was heard lately was heard since then
+  /// \return whether each host that was heard recently was heard since aSince
   bool AllHeardSince(Millis aSince, Millis aNow) const;
-  /// \return the sum of a window
+  /// \return the sum of all hosts for a window
   AccountCounts Sum(int64_t aWindow) const;
-  /// \return how many processes told something of a window
+  /// \return number of processes that reported counts for a window
   size_t ReporterCount(int64_t aWindow) const;
-  /// Forgets windows before this one, and hosts that are gone.
+  /// Removes windows before aWindow, and hosts that have timed out.
   void Forget(int64_t aWindow, Millis aNow);
 
  private:
   std::map<std::string, WindowCounts> mCounts;  ///< by process
-  std::map<std::string, Millis> mHeard;         ///< by address
+  std::map<std::string, Millis> mLastContacts;  ///< by address
 };
 
 }  // namespace rillwall
--- a/src/include/rillwall/view_plan.h
+++ b/src/include/rillwall/view_plan.h
@@ -1,21 +1,22 @@
 /// \file
-/// Whom a node asks for the view of the replicas next, how long it waits for
-/// the answer, and when it asks again.
+/// Decides which source a node asks for the current view of the replicas, how
+/// long it waits for the answer, and when it asks again.
 ///
-/// The view must be young enough that a replica that leaves gets nothing new
-/// after the operator's bound; yet a source that is late must not be asked
-/// harder for it. So one question is under way at a time; a source that misses
-/// is left alone for a pause that doubles and is drawn at random; meanwhile the
-/// node asks a helper, a candidate for the lead that reads the store for all
-/// who ask it; and only a node that nobody tells anything reads the store
-/// itself.
+/// The view must be recent enough that a draining replica gets no new requests
+/// after the operator's bound. On the other hand, a slow source must not be
+/// asked more often because it is slow. A node therefore asks one question at a
+/// time. A source that fails to answer is not asked again for an exponentially
+/// growing, randomized pause. In the meantime the node asks a helper: a
+/// candidate for the lead (the elected leader) that reads the store on behalf
+/// of all nodes that ask it. Only a node that gets no answer from any node
+/// reads the store itself.
 ///
-/// With H nodes and C candidates, all within one period of questions: H answers
-/// of the lead, or H of the helpers with C reads of the store. While the lead
-/// does not answer, questions to it fall to a quarter of that. A store that no
-/// source has heard from is read by H nodes within eight seconds.
+/// With H nodes and C candidates, one period of questions costs H answers of
+/// the lead, or H answers of the helpers and C reads of the store. While the
+/// lead does not answer, the questions to it drop to a quarter. A store that no
+/// source can reach is read by H nodes within eight seconds.
 ///
-/// Pure: the instant is an argument, and random numbers come from a seed.
+/// Pure: the current time is an argument, and random numbers come from a seed.
 
 #pragma once
 
@@ -27,92 +28,95 @@
 
 namespace rillwall {
 
-/// Where a node may hear of the replicas.
+/// A source of the list of replicas.
 enum class ViewSource {
-  Lead,    ///< the holder of the lead
-  Helper,  ///< a candidate for it, asked in the lead's place
-  LookUp,  ///< the store, for who leads only
+  Lead,    ///< the node that holds the lead
+  Helper,  ///< a candidate for the lead, asked in place of the lead
+  LookUp,  ///< the store, only to find out which node leads
   Store,   ///< the store, for the whole list
 };
 
-/// Whom a node knows.
+/// Sources that a node currently knows.
 struct ViewContacts {
-  bool mLead = false;     ///< somebody else who leads
-  bool mHelpers = false;  ///< candidates that may be asked in the lead's place
-  /// The node is a candidate itself: it reads the store while nobody leads, to
-  /// be a source for others.
+  bool mLead = false;     ///< another node leads
+  bool mHelpers = false;  ///< there are candidates to ask in place of the lead
+  /// This node is a candidate: while no node leads it reads the store, to be a
+  /// source for others.
   bool mCandidate = false;
   bool operator==(const ViewContacts&) const = default;
 };
 
+/// Schedules the questions of one node to its sources.
 class ViewPlan {
  public:
-  /// \param aBound then a replica that leaves gets nothing new
-  /// \param aSeed of the random parts of pauses; not alike on all nodes
+  /// \param aBound time after which a draining replica must get no new requests
+  /// \param aSeed seed of the random pauses; must differ between nodes
   ViewPlan(Millis aBound, uint64_t aSeed);
   void SetBound(Millis aBound) { mBound = aBound; }
 
-  /// \return how often a node that reads the store does so
+  /// \return interval at which a node that reads the store does so
   Millis PollInterval() const;
-  /// \return how often others are to be asked
-  Millis AskEvery() const;
-  /// \return how long to wait for a node's answer: some times as long as
-  /// answers have taken, within limits that the bound sets
+  /// \return interval at which other sources are asked
+  Millis AskInterval() const;
+  /// \return timeout of a question: a multiple of the usual answer time, within
+  /// limits that depend on the bound
   Millis Limit() const;
 
-  /// The process has just begun.
-  /// \param aExpectLead nobody waits for this node yet, and somebody will lead
-  /// soon; else it reads the store within two seconds if nobody tells it
+  /// Records that the process has started.
+  /// \param aExpectLead no client waits for this node yet and a lead will be
+  /// elected soon; otherwise the node reads the store within two seconds unless
+  /// it gets the list from another node
   void Begin(bool aExpectLead, Millis aNow);
-  /// Another host leads than before: it is asked soon, not by all nodes at
-  /// once.
+  /// Records that another host leads now. It is asked soon, but not by all
+  /// nodes at the same time.
   void LeadChanged(Millis aNow);
 
-  /// The node needs more than it was told: its sources are asked at once.
+  /// Asks the sources at once, because the node needs more than it was told.
   void AskNow(Millis aNow);
 
-  /// \return the source to ask now; nothing if it is not time for any
+  /// \return the source to ask now, or nothing if none is due
   std::optional<ViewSource> Next(const ViewContacts& aContacts,
                                  Millis aNow) const;
-  /// \return how long to sleep before Next() is asked again
+  /// \return how long to sleep before calling Next() again
   Millis Pause() const;
 
-  /// A source told its list.
-  /// \param aAsked when it was asked
-  /// \param aAge of its list when it answered
+  /// Records that a source sent its list.
+  /// \param aAsked when the source was asked
+  /// \param aAge age of the list when the source answered
   void Told(ViewSource aSource, Millis aAsked, Millis aAge, Millis aNow);
-  /// The store told who leads.
+  /// Records that the store named the node that leads.
   void LeadFound(Millis aNow);
-  /// A source gave no answer, or none that helps.
+  /// Records that a source sent no answer, or no useful one.
   void RecordMiss(ViewSource aSource, Millis aNow);
-  /// A source does not hear from the store either.
+  /// Records that a source cannot reach the store either.
   void RecordStoreUnreachable(ViewSource aSource, Millis aNow);
 
-  /// \return whether the list known here is young enough to wait for a source
+  /// \return whether the known list is recent enough to wait for a source
   bool Fresh(Millis aNow) const;
-  /// \return questions in a row that a source did not answer
+  /// \return consecutive questions that a source did not answer
   int Misses(ViewSource aSource) const { return Of(aSource).mMisses; }
 
  private:
-  /// How one source has answered.
-  struct Standing {
-    int mMisses = 0;  ///< in a row
-    Millis mFrom;     ///< not asked before
+  /// Answer history of one source.
+  struct SourceState {
+    int mMisses = 0;    ///< consecutive questions without an answer
+    Millis mNextAskAt;  ///< time of the next question
   };
   static constexpr size_t kSources = 4;
 
-  Standing& Of(ViewSource aSource) {
-    return mStandings[static_cast<size_t>(aSource)];
+  SourceState& Of(ViewSource aSource) {
+    return mSourceStates[static_cast<size_t>(aSource)];
   }
-  const Standing& Of(ViewSource aSource) const {
-    return mStandings[static_cast<size_t>(aSource)];
+  const SourceState& Of(ViewSource aSource) const {
+    return mSourceStates[static_cast<size_t>(aSource)];
   }
   bool Due(ViewSource aSource, Millis aNow) const;
 
   Millis mBound;
-  Standing mStandings[kSources];
-  std::optional<Millis> mListedAt;  ///< when the list known here was read
-  double mTookMs = 0;               ///< smoothed, of answers; 0: none yet
+  SourceState mSourceStates[kSources];
+  /// Time at which the known list was read from the store.
+  std::optional<Millis> mListedAt;
+  double mAnswerMs = 0;  ///< smoothed answer time; 0: none yet
   Jitter mJitter;
 };
 
--- a/src/librillwall_coordination/backoff.cpp
+++ b/src/librillwall_coordination/backoff.cpp
@@ -4,10 +4,10 @@
 
 namespace rillwall {
 
-Millis BackoffDelay(int aFailures, Millis aBase, Millis aMost) {
-  constexpr int kMostDoublings = 20;
-  const int doublings = std::clamp(aFailures - 1, 0, kMostDoublings);
-  return std::min(aBase * (int64_t{1} << doublings), aMost);
+Millis BackoffDelay(int aFailures, Millis aBase, Millis aMax) {
+  constexpr int kMaxDoublings = 20;
+  const int doublings = std::clamp(aFailures - 1, 0, kMaxDoublings);
+  return std::min(aBase * (int64_t{1} << doublings), aMax);
 }
 
 Millis Jitter::FullJitter(Millis aSpan) {
--- a/src/librillwall_coordination/backoff_test.cpp
+++ b/src/librillwall_coordination/backoff_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of pauses between tries.
+/// Tests of backoff delays and jitter.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -14,19 +14,19 @@
 
 class BackoffTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BackoffTest);
-  CPPUNIT_TEST(PausesDoubleUpToALimit);
-  CPPUNIT_TEST(DrawnSpansStayWithinTheirBounds);
-  CPPUNIT_TEST(CandidatesDoNotComeTogether);
+  CPPUNIT_TEST(DelayDoublesUpToTheLimit);
+  CPPUNIT_TEST(JitterStaysWithinItsBounds);
+  CPPUNIT_TEST(CandidatesDoNotClaimAtOnce);
   CPPUNIT_TEST_SUITE_END();
 
-  void PausesDoubleUpToALimit() {
+  void DelayDoublesUpToTheLimit() {
     CPPUNIT_ASSERT(BackoffDelay(1, Millis(100), Millis(350)) == Millis(100));
     CPPUNIT_ASSERT(BackoffDelay(2, Millis(100), Millis(350)) == Millis(200));
     CPPUNIT_ASSERT(BackoffDelay(3, Millis(100), Millis(350)) == Millis(350));
     CPPUNIT_ASSERT(BackoffDelay(99, Millis(100), Millis(350)) == Millis(350));
   }
 
-  void DrawnSpansStayWithinTheirBounds() {
+  void JitterStaysWithinItsBounds() {
     Jitter jitter(7);
     for (int i = 0; i < 1000; ++i) {
       const Millis half = jitter.EqualJitter(Millis(100));
@@ -36,9 +36,10 @@
     }
   }
 
-  // The pattern: 24 candidates learn at one moment that a claim is free, and a
-  // claim takes 8 ms, two calls to the store. Seeds are those of their runs.
-  void CandidatesDoNotComeTogether() {
+  // 24 candidates learn at the same moment that a claim is free, and a claim
+  // takes 8 ms, two calls to the store. The seeds are hashes of run ids, as in
+  // production.
+  void CandidatesDoNotClaimAtOnce() {
     constexpr int kCandidates = 24;
     constexpr int kRounds = 100;
     int racing = 0;
@@ -55,7 +56,8 @@
           waits.begin(), waits.end(),
           [first](Millis aWait) { return aWait < first + Millis(8); }));
     }
-    // A fifth of them, in place of all.
+    // About a fifth of the candidates start within the time of the first claim.
+    // Without jitter all 24 would.
     CPPUNIT_ASSERT(racing < kRounds * 6);
   }
 };
--- a/src/librillwall_coordination/call_attempts.cpp
+++ b/src/librillwall_coordination/call_attempts.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr int kServerErrors = 5;  // of status / 100
-/// Tries that did not run cost little, but must end.
+constexpr int kServerErrorClass = 5;  // status / 100
+/// Limit on all tries, including cheap ones that did not run the request.
 constexpr int kMaxTries = 8;
-/// When a refused caller may come back: about as long as one plain request
-/// runs, so that a slot has come free.
-constexpr Millis kComeBack{200};
+/// Retry-After of a refused call: about the run time of a plain request, after
+/// which a slot has become free.
+constexpr Millis kRefusedRetryAfter{200};
 
 }  // namespace
 
@@ -19,21 +19,21 @@
     : mKind(aKind), mAttempts(std::max(aAttempts, 1)) {}
 
 bool CallAttempts::MayRunAgain() const {
-  return mKind == RequestKind::Idempotent && mRan < mAttempts;
+  return mKind == RequestKind::Idempotent && mPossibleRuns < mAttempts;
 }
 
 bool CallAttempts::MayAbandonTry() const {
-  return mKind == RequestKind::Idempotent && mRan + 1 < mAttempts &&
+  return mKind == RequestKind::Idempotent && mPossibleRuns + 1 < mAttempts &&
          mTries + 1 < kMaxTries;
 }
 
-CallStep CallAttempts::RecordTry(TryOutcome aEnd, int aStatus) {
+CallStep CallAttempts::RecordTry(TryOutcome aOutcome, int aStatus) {
   ++mTries;
   const bool triesLeft = mTries < kMaxTries;
-  switch (aEnd) {
+  switch (aOutcome) {
     case TryOutcome::Answered: {
-      ++mRan;
-      const bool failed = aStatus / 100 == kServerErrors;
+      ++mPossibleRuns;
+      const bool failed = aStatus / 100 == kServerErrorClass;
       return failed && MayRunAgain() && triesLeft ? CallStep::Retry
                                                   : CallStep::Deliver;
     }
@@ -42,23 +42,24 @@
       return triesLeft ? CallStep::Retry : CallStep::Fail;
     case TryOutcome::Lost:
     case TryOutcome::TimedOut:
-      ++mRan;
+      ++mPossibleRuns;
       return MayRunAgain() && triesLeft ? CallStep::Retry : CallStep::Fail;
   }
   return CallStep::Fail;
 }
 
-Error CallAttempts::Failure(bool aTimeIsUp) const {
-  if (mRan == 0) {
+Error CallAttempts::Failure(bool aTimedOut) const {
+  if (mPossibleRuns == 0) {
     return Error(ErrorKind::Overloaded,
-                 "No replica took the request; it was not run.",
+                 "No replica accepted the request; it was not run.",
                  RunState::NotRun)
-        .After(kComeBack);
+        .After(kRefusedRetryAfter);
   }
-  if (aTimeIsUp) {
-    return {ErrorKind::Timeout, "No answer came in time.", RunState::Unknown};
+  if (aTimedOut) {
+    return {ErrorKind::Timeout, "No response arrived before the deadline.",
+            RunState::Unknown};
   }
-  return {ErrorKind::ConnectionLost, "A replica's answer was lost.",
+  return {ErrorKind::ConnectionLost, "The response of a replica was lost.",
           RunState::Unknown};
 }
 
--- a/src/librillwall_coordination/call_attempts_test.cpp
+++ b/src/librillwall_coordination/call_attempts_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of what may be tried again, and of what a caller may be told.
+/// Tests of which calls are retried and which error the caller gets.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -10,25 +10,25 @@
 class CallAttemptsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallAttemptsTest);
   CPPUNIT_TEST(NonIdempotentIsNotRepeatedOnceSent);
-  CPPUNIT_TEST(NonIdempotentGoesOnAfterARefusal);
-  CPPUNIT_TEST(RefusalIsTrueOnlyIfNothingRan);
+  CPPUNIT_TEST(NonIdempotentIsRetriedAfterARefusal);
+  CPPUNIT_TEST(NotRunIsReportedOnlyIfNothingRan);
   CPPUNIT_TEST(IdempotentIsRepeatedWithinAttempts);
   CPPUNIT_TEST(IdempotentServerErrorIsRepeated);
   CPPUNIT_TEST(NonIdempotentServerErrorIsDelivered);
-  CPPUNIT_TEST(RefusalsEndToo);
-  CPPUNIT_TEST(TimeUpAfterASendIsNoRefusal);
-  CPPUNIT_TEST(MayMoveOnOnlyWithAttemptsLeft);
+  CPPUNIT_TEST(RefusalsAreRetriedAtMostSoOften);
+  CPPUNIT_TEST(TimeoutAfterASendIsNotReportedAsNotRun);
+  CPPUNIT_TEST(TryMayBeAbandonedOnlyWithAttemptsLeft);
   CPPUNIT_TEST_SUITE_END();
 
   void NonIdempotentIsNotRepeatedOnceSent() {
-    for (const TryOutcome end : {TryOutcome::Lost, TryOutcome::TimedOut}) {
+    for (const TryOutcome outcome : {TryOutcome::Lost, TryOutcome::TimedOut}) {
       CallAttempts call(RequestKind::NonIdempotent, 5);
-      CPPUNIT_ASSERT(call.RecordTry(end, 0) == CallStep::Fail);
+      CPPUNIT_ASSERT(call.RecordTry(outcome, 0) == CallStep::Fail);
       CPPUNIT_ASSERT(call.Failure(false).Run() == RunState::Unknown);
     }
   }
 
-  void NonIdempotentGoesOnAfterARefusal() {
+  void NonIdempotentIsRetriedAfterARefusal() {
     CallAttempts call(RequestKind::NonIdempotent, 1);
     CPPUNIT_ASSERT(call.RecordTry(TryOutcome::Refused, 503) == CallStep::Retry);
     CPPUNIT_ASSERT(call.RecordTry(TryOutcome::NotSent, 0) == CallStep::Retry);
@@ -36,7 +36,7 @@
                    CallStep::Deliver);
   }
 
-  void RefusalIsTrueOnlyIfNothingRan() {
+  void NotRunIsReportedOnlyIfNothingRan() {
     CallAttempts refused(RequestKind::Idempotent, 2);
     refused.RecordTry(TryOutcome::Refused, 503);
     CPPUNIT_ASSERT(refused.Failure(true).Run() == RunState::NotRun);
@@ -70,7 +70,7 @@
                    CallStep::Deliver);
   }
 
-  void RefusalsEndToo() {
+  void RefusalsAreRetriedAtMostSoOften() {
     CallAttempts call(RequestKind::Idempotent, 2);
     int tries = 1;
     while (call.RecordTry(TryOutcome::Refused, 503) == CallStep::Retry) {
@@ -80,14 +80,14 @@
     CPPUNIT_ASSERT(tries > 2);
   }
 
-  void TimeUpAfterASendIsNoRefusal() {
+  void TimeoutAfterASendIsNotReportedAsNotRun() {
     CallAttempts call(RequestKind::Idempotent, 1);
     call.RecordTry(TryOutcome::TimedOut, 0);
     CPPUNIT_ASSERT(call.Failure(true).Kind() == ErrorKind::Timeout);
     CPPUNIT_ASSERT(call.Failure(true).Run() == RunState::Unknown);
   }
 
-  void MayMoveOnOnlyWithAttemptsLeft() {
+  void TryMayBeAbandonedOnlyWithAttemptsLeft() {
     CallAttempts call(RequestKind::Idempotent, 2);
     CPPUNIT_ASSERT(call.MayAbandonTry());
     call.RecordTry(TryOutcome::TimedOut, 0);
--- a/src/librillwall_coordination/client_accounts.cpp
+++ b/src/librillwall_coordination/client_accounts.cpp
@@ -8,7 +8,7 @@
 
 KeyDigest DigestOfKey(std::string_view aKey) { return Sha256({aKey}); }
 
-size_t AccountTable::FirstBytes::operator()(const KeyDigest& aDigest) const {
+size_t AccountTable::DigestHash::operator()(const KeyDigest& aDigest) const {
   size_t hash = 0;
   std::memcpy(&hash, aDigest.data(), sizeof(hash));
   return hash;
@@ -24,8 +24,8 @@
   }
 }
 
-// Digests are compared, not keys: how long that takes tells a caller nothing
-// that helps it to guess a key.
+// Compares digests and not keys, so that the time of the lookup reveals nothing
+// that helps to guess a key.
 const ClientAccount* AccountTable::Find(std::string_view aKey) const {
   const auto found = mByKey.find(DigestOfKey(aKey));
   return found == mByKey.end() ? nullptr : &mAccounts[found->second];
--- a/src/librillwall_coordination/client_accounts_bench.cpp
+++ b/src/librillwall_coordination/client_accounts_bench.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What finding the account of a key costs, at some numbers of keys.
+/// Cost of finding the account of a key, by the number of keys.
 
 #include <benchmark/benchmark.h>
 
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr int64_t kKeysOfAnAccount = 2;
+constexpr int64_t kKeysPerAccount = 2;
 
 void FindAccount(benchmark::State& aState) {
   std::vector<ClientAccount> accounts;
   std::vector<std::string> keys;
   for (int64_t i = 0; i < aState.range(0); ++i) {
     const std::string key = "8m82thhkmgjqnirt" + std::to_string(i);
-    if (i % kKeysOfAnAccount == 0) {
+    if (i % kKeysPerAccount == 0) {
       accounts.push_back({"account" + std::to_string(i), std::nullopt, {}});
     }
     accounts.back().mKeys.push_back(DigestOfKey(key));
--- a/src/librillwall_coordination/cold_share_test.cpp
+++ b/src/librillwall_coordination/cold_share_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Load pattern: replicas that come back cold, a whole availability zone of
-/// them at once, behind few and behind many hosts.
+/// Load test: cold replicas, also a whole availability zone of them at once,
+/// that get requests from few and from many hosts.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr double kRate = 17;
-/// One and a half times the rate and five more end a replica.
-constexpr int64_t kMost = 30;
+/// A replica crashes at one and a half times the rate plus five requests.
+constexpr int64_t kMaxPerSecond = 30;
 constexpr Millis kSecond{1000};
 
 std::string HostName(size_t aIndex) {
@@ -47,73 +47,75 @@
   return service;
 }
 
-ReplicaRequirements Wish() {
-  ReplicaRequirements wish;
-  wish.mService = "s";
-  wish.mZone = "z";
-  return wish;
+ReplicaRequirements Requirements() {
+  ReplicaRequirements requirements;
+  requirements.mService = "s";
+  requirements.mZone = "z";
+  return requirements;
 }
 
 }  // namespace
 
 class ColdShareTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ColdShareTest);
-  CPPUNIT_TEST(AllHostsTogetherKeepTheRate);
-  CPPUNIT_TEST(SlowRatesAreKeptToo);
-  CPPUNIT_TEST(TwoOwnersKeepTheBound);
-  CPPUNIT_TEST(UnknownNumberOfHostsIsTakenForMany);
+  CPPUNIT_TEST(AllHostsTogetherStayWithinTheRate);
+  CPPUNIT_TEST(LowRatesAreKept);
+  CPPUNIT_TEST(TwoOwnersStayWithinTheBound);
+  CPPUNIT_TEST(UnknownHostCountIsAssumedLarge);
   CPPUNIT_TEST(WindowSlides);
-  CPPUNIT_TEST(WholeZoneComesBackCold);
-  CPPUNIT_TEST(ColdOneIsUsedWhenTheOthersAreFull);
-  CPPUNIT_TEST(WarmReplicaIsNotHeldBack);
+  CPPUNIT_TEST(ZoneOfColdReplicasStaysWithinTheBound);
+  CPPUNIT_TEST(ColdReplicaIsUsedWhenOthersAreFull);
+  CPPUNIT_TEST(WarmReplicaIsNotLimited);
   CPPUNIT_TEST_SUITE_END();
 
-  /// \return requests a second that all hosts may send to one replica
-  static int64_t AtReplica(size_t aReplica, size_t aHosts, size_t aTold,
-                           double aRate) {
+  /// \param aAssumedHosts number of hosts that each host assumes
+  /// \return requests per second that all hosts together may send to one
+  /// replica
+  static int64_t RateAtReplica(size_t aReplica, size_t aHosts,
+                               size_t aAssumedHosts, double aRate) {
     int64_t sum = 0;
     const std::string id = "i-" + std::to_string(aReplica);
     for (size_t host = 0; host < aHosts; ++host) {
-      sum += ShareOf(host, aTold).PerSecond(id, aRate);
+      sum += ShareOf(host, aAssumedHosts).PerSecond(id, aRate);
     }
     return sum;
   }
 
-  void AllHostsTogetherKeepTheRate() {
+  void AllHostsTogetherStayWithinTheRate() {
     constexpr size_t kReplicas = 200;
     for (const size_t hosts : {1, 3, 9, 16, 74, 300, 985, 1780}) {
       int64_t sum = 0;
       for (size_t replica = 0; replica < kReplicas; ++replica) {
-        const int64_t here = AtReplica(replica, hosts, hosts, kRate);
-        CPPUNIT_ASSERT_MESSAGE(std::to_string(here), here <= kMost);
-        sum += here;
+        const int64_t rate = RateAtReplica(replica, hosts, hosts, kRate);
+        CPPUNIT_ASSERT_MESSAGE(std::to_string(rate), rate <= kMaxPerSecond);
+        sum += rate;
       }
-      // On average half of the rate, of which rounding down takes some.
+      // Half of the rate on average, less what is lost by rounding down.
       CPPUNIT_ASSERT(sum <= static_cast<int64_t>(kReplicas) * 10);
       CPPUNIT_ASSERT(sum > static_cast<int64_t>(kReplicas) * 2);
     }
   }
 
-  void SlowRatesAreKeptToo() {
+  void LowRatesAreKept() {
     for (const size_t hosts : {9, 74, 985}) {
       for (size_t replica = 0; replica < 500; ++replica) {
-        const int64_t here = AtReplica(replica, hosts, hosts, 1);
-        CPPUNIT_ASSERT_MESSAGE(std::to_string(here), here <= 6);
+        const int64_t rate = RateAtReplica(replica, hosts, hosts, 1);
+        CPPUNIT_ASSERT_MESSAGE(std::to_string(rate), rate <= 6);
       }
     }
   }
 
-  void TwoOwnersKeepTheBound() {
+  void TwoOwnersStayWithinTheBound() {
     ColdShare owner;
     owner.SetHost("disk-1", false);
     const int64_t owners = 2 * owner.PerSecond("i-1", kRate);
-    CPPUNIT_ASSERT(owners + static_cast<int64_t>(kRate / 2) <= kMost);
+    CPPUNIT_ASSERT(owners + static_cast<int64_t>(kRate / 2) <= kMaxPerSecond);
     CPPUNIT_ASSERT_EQUAL(int64_t{1}, owner.PerSecond("i-1", 0.5));
   }
 
-  void UnknownNumberOfHostsIsTakenForMany() {
-    CPPUNIT_ASSERT(AtReplica(1, 985, 0, kRate) <= kMost);
-    CPPUNIT_ASSERT(AtReplica(1, 985, 1, kRate) > kMost);
+  void UnknownHostCountIsAssumedLarge() {
+    CPPUNIT_ASSERT(RateAtReplica(1, 985, 0, kRate) <= kMaxPerSecond);
+    CPPUNIT_ASSERT(RateAtReplica(1, 985, 1, kRate) > kMaxPerSecond);
   }
 
   void WindowSlides() {
@@ -131,10 +133,11 @@
 
   using Sends = std::map<std::string, std::vector<Millis>>;
 
-  /// A host that presses as hard as it can; each request ends at once.
-  static void Press(ReplicaPool& aPool, Sends& aSends) {
+  /// Simulates a host that sends as fast as it is allowed to; each request ends
+  /// at once.
+  static void SendAsFastAsAllowed(ReplicaPool& aPool, Sends& aSends) {
     for (Millis now{10000}; now < Millis(13000); now = now + Millis(10)) {
-      const std::optional<std::string> id = aPool.Choose(Wish(), now);
+      const std::optional<std::string> id = aPool.Choose(Requirements(), now);
       if (!id) {
         continue;
       }
@@ -145,7 +148,7 @@
     }
   }
 
-  void WholeZoneComesBackCold() {
+  void ZoneOfColdReplicasStaysWithinTheBound() {
     constexpr size_t kHosts = 9;
     constexpr size_t kReplicas = 6;
     Sends sends;
@@ -158,22 +161,22 @@
         replicas.push_back(ColdReplica(i));
       }
       pool.Update(replicas, false);
-      Press(pool, sends);
+      SendAsFastAsAllowed(pool, sends);
     }
     size_t all = 0;
     for (auto& [id, times] : sends) {
       std::sort(times.begin(), times.end());
       for (auto at = times.begin(); at != times.end(); ++at) {
         const auto end = std::lower_bound(at, times.end(), *at + kSecond);
-        CPPUNIT_ASSERT(end - at <= kMost);
+        CPPUNIT_ASSERT(end - at <= kMaxPerSecond);
       }
       all += times.size();
     }
-    // They are used as far as hosts may.
+    // The limit does not prevent the replicas from being used.
     CPPUNIT_ASSERT(all > kReplicas * 3 * 2);
   }
 
-  void ColdOneIsUsedWhenTheOthersAreFull() {
+  void ColdReplicaIsUsedWhenOthersAreFull() {
     ReplicaPool pool;
     pool.SetServices({ColdService()});
     pool.Cold() = ShareOf(0, 1);
@@ -181,18 +184,19 @@
     warm.mCold = false;
     warm.mSlots = 1;
     pool.Update({ColdReplica(0), warm}, false);
-    CPPUNIT_ASSERT_EQUAL(warm.mId, *pool.Choose(Wish(), kSecond));
+    CPPUNIT_ASSERT_EQUAL(warm.mId, *pool.Choose(Requirements(), kSecond));
     pool.Start(warm.mId);
-    CPPUNIT_ASSERT_EQUAL(std::string("i-0"), *pool.Choose(Wish(), kSecond));
+    CPPUNIT_ASSERT_EQUAL(std::string("i-0"),
+                         *pool.Choose(Requirements(), kSecond));
   }
 
-  void WarmReplicaIsNotHeldBack() {
+  void WarmReplicaIsNotLimited() {
     ReplicaPool pool;
     Replica warm = ColdReplica(1);
     warm.mCold = false;
     pool.Update({warm}, false);
     for (int i = 0; i < 100; ++i) {
-      CPPUNIT_ASSERT(pool.Choose(Wish(), kSecond).has_value());
+      CPPUNIT_ASSERT(pool.Choose(Requirements(), kSecond).has_value());
       pool.Sent(warm.mId, kSecond);
     }
   }
--- a/src/librillwall_coordination/crash_table.cpp
+++ b/src/librillwall_coordination/crash_table.cpp
@@ -6,8 +6,8 @@
 namespace rillwall {
 
 template <class Action>
-void CrashTable::ForOpenRecords(const RequestDigest& aRequest,
-                                Action aAction) const {
+void CrashTable::ForEachUnclearedRecord(const RequestDigest& aRequest,
+                                        Action aAction) const {
   for (auto at = mRecords.lower_bound({aRequest, {}});
        at != mRecords.end() && at->first.mRequest == aRequest; ++at) {
     if (!at->second.mRecord.mCleared) {
@@ -16,7 +16,7 @@
   }
 }
 
-bool CrashTable::Take(const CrashRecord& aRecord, bool aOwn) {
+bool CrashTable::Apply(const CrashRecord& aRecord, bool aLocal) {
   const auto [at, added] =
       mRecords.try_emplace({aRecord.mRequest, aRecord.mReplica});
   Entry& entry = at->second;
@@ -32,29 +32,29 @@
     --mSuspects;
   }
   entry.mNumber = ++mNumber;
-  entry.mUnsaved = aOwn;
+  entry.mUnsaved = aLocal;
   return true;
 }
 
 bool CrashTable::AddCrash(CrashRecord aRecord) {
-  const bool news = Take(aRecord, true);
-  if (news) {
+  const bool changed = Apply(aRecord, true);
+  if (changed) {
     Evict();
   }
-  if (news && mOnLocalChange) {
+  if (changed && mOnLocalChange) {
     mOnLocalChange();
   }
-  return news;
+  return changed;
 }
 
 size_t CrashTable::Clear(const RequestDigest& aRequest) {
   std::vector<CrashRecord> cleared;
-  ForOpenRecords(aRequest, [&](const CrashRecord& aRecord) {
+  ForEachUnclearedRecord(aRequest, [&](const CrashRecord& aRecord) {
     cleared.push_back(aRecord);
   });
   for (CrashRecord& record : cleared) {
     record.mCleared = true;
-    Take(record, true);
+    Apply(record, true);
   }
   if (!cleared.empty() && mOnLocalChange) {
     mOnLocalChange();
@@ -64,14 +64,14 @@
 
 std::vector<CrashRecord> CrashTable::Merge(
     const std::vector<CrashRecord>& aRecords) {
-  std::vector<CrashRecord> news;
+  std::vector<CrashRecord> changed;
   for (const CrashRecord& record : aRecords) {
-    if (Take(record, false)) {
-      news.push_back(record);
+    if (Apply(record, false)) {
+      changed.push_back(record);
     }
   }
   Evict();
-  return news;
+  return changed;
 }
 
 CrashTable::Entries::iterator CrashTable::Erase(Entries::iterator aAt) {
@@ -92,30 +92,30 @@
     return std::tuple(!record.mCleared, Crashes(record.mRequest), record.mAtMs);
   };
   while (mRecords.size() > kMaxRecords) {
-    auto least = mRecords.begin();
+    auto lowest = mRecords.begin();
     for (auto at = mRecords.begin(); at != mRecords.end(); ++at) {
-      least = keepRank(at) < keepRank(least) ? at : least;
+      lowest = keepRank(at) < keepRank(lowest) ? at : lowest;
     }
-    Erase(least);
+    Erase(lowest);
   }
 }
 
 size_t CrashTable::Crashes(const RequestDigest& aRequest) const {
   size_t count = 0;
-  ForOpenRecords(aRequest, [&](const CrashRecord&) { ++count; });
+  ForEachUnclearedRecord(aRequest, [&](const CrashRecord&) { ++count; });
   return count;
 }
 
 Millis CrashTable::HeldFor(const RequestDigest& aRequest,
                            int64_t aNowMs) const {
   std::vector<int64_t> times;
-  ForOpenRecords(aRequest, [&](const CrashRecord& aRecord) {
+  ForEachUnclearedRecord(aRequest, [&](const CrashRecord& aRecord) {
     times.push_back(aRecord.mAtMs);
   });
   if (times.size() < kCrashesToHold) {
     return {};
   }
-  // Until so many are forgotten that the rest does not hold it.
+  // The request is held until fewer than kCrashesToHold records remain.
   std::sort(times.rbegin(), times.rend());
   const Millis left(times[kCrashesToHold - 1] + kRecordLifetime.Count() -
                     aNowMs);
@@ -132,10 +132,10 @@
   return records;
 }
 
-std::vector<CrashRecord> CrashTable::Unsaved(size_t aMost) const {
+std::vector<CrashRecord> CrashTable::Unsaved(size_t aLimit) const {
   std::vector<CrashRecord> records;
   for (const auto& [key, entry] : mRecords) {
-    if (records.size() == aMost) {
+    if (records.size() == aLimit) {
       break;
     }
     if (entry.mUnsaved) {
@@ -154,7 +154,7 @@
 void CrashTable::MarkSaved(const std::vector<CrashRecord>& aRecords) {
   for (const CrashRecord& record : aRecords) {
     const auto at = mRecords.find({record.mRequest, record.mReplica});
-    // It may have been cleared while it was written.
+    // The record may have been cleared while it was written.
     if (at != mRecords.end() && at->second.mRecord == record) {
       at->second.mUnsaved = false;
     }
--- a/src/librillwall_coordination/crash_table_bench.cpp
+++ b/src/librillwall_coordination/crash_table_bench.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What it costs to tell that a request is not held: its digest, and the
-/// look-up among as many records as a table keeps.
+/// Cost of checking that a request is not held: its digest, and a lookup in a
+/// table with the maximum number of records.
 
 #include <benchmark/benchmark.h>
 
--- a/src/librillwall_coordination/crash_table_test.cpp
+++ b/src/librillwall_coordination/crash_table_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of what is known of requests that end replicas.
+/// Tests of the records of requests that crash replicas.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -13,25 +13,25 @@
 class CrashTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CrashTableTest);
   CPPUNIT_TEST(HeldAfterThreeReplicas);
-  CPPUNIT_TEST(OneEndCountsOnce);
+  CPPUNIT_TEST(RepeatedCrashCountsOnce);
   CPPUNIT_TEST(AnswerClears);
   CPPUNIT_TEST(ClearedStaysCleared);
-  CPPUNIT_TEST(NewEndsCountAfterAnAnswer);
-  CPPUNIT_TEST(HeldForAsLongAsItCounts);
+  CPPUNIT_TEST(NewCrashesCountAfterAnAnswer);
+  CPPUNIT_TEST(HeldUntilRecordsExpire);
   CPPUNIT_TEST(OldRecordsAreForgotten);
-  CPPUNIT_TEST(ManyDoNotPushOutTheHeld);
-  CPPUNIT_TEST(OnlyOwnNewsIsUnsaved);
-  CPPUNIT_TEST(ChangedWhileWrittenIsWrittenAgain);
-  CPPUNIT_TEST(ToldSinceANumber);
-  CPPUNIT_TEST(OrderOfNewsDoesNotMatter);
+  CPPUNIT_TEST(ManyRecordsDoNotEvictHeldRequests);
+  CPPUNIT_TEST(OnlyLocalChangesAreUnsaved);
+  CPPUNIT_TEST(RecordChangedDuringAWriteStaysUnsaved);
+  CPPUNIT_TEST(SinceReturnsLaterChanges);
+  CPPUNIT_TEST(MergeOrderDoesNotMatter);
   CPPUNIT_TEST_SUITE_END();
 
-  static RequestDigest Named(const std::string& aName) {
+  static RequestDigest DigestFor(const std::string& aName) {
     return RequestDigest(RequestParts{"POST", "h", aName, "", ""});
   }
   static CrashRecord Record(const std::string& aRequest,
                             const std::string& aReplica, int64_t aAtMs = 1000) {
-    return {Named(aRequest), aReplica, aAtMs, false, "POST h" + aRequest};
+    return {DigestFor(aRequest), aReplica, aAtMs, false, "POST h" + aRequest};
   }
   void Hold(const std::string& aRequest, int64_t aAtMs = 1000) {
     for (const char* replica : {"r1", "r2", "r3"}) {
@@ -42,7 +42,7 @@
   CrashTable mTable;
 
   void HeldAfterThreeReplicas() {
-    const RequestDigest request = Named("/p");
+    const RequestDigest request = DigestFor("/p");
     CPPUNIT_ASSERT(!mTable.HasSuspects());
     mTable.AddCrash(Record("/p", "r1"));
     mTable.AddCrash(Record("/p", "r2"));
@@ -50,57 +50,59 @@
     CPPUNIT_ASSERT(!mTable.Held(request));
     mTable.AddCrash(Record("/p", "r3"));
     CPPUNIT_ASSERT(mTable.Held(request));
-    CPPUNIT_ASSERT(!mTable.Held(Named("/q")));
+    CPPUNIT_ASSERT(!mTable.Held(DigestFor("/q")));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Suspects().size());
     CPPUNIT_ASSERT(mTable.Suspects().front().mHeld);
   }
 
-  void OneEndCountsOnce() {
+  void RepeatedCrashCountsOnce() {
     CPPUNIT_ASSERT(mTable.AddCrash(Record("/p", "r1")));
     CPPUNIT_ASSERT(!mTable.AddCrash(Record("/p", "r1", 1005)));
     mTable.Merge({Record("/p", "r1", 999)});
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Crashes(Named("/p")));
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Crashes(DigestFor("/p")));
   }
 
   void AnswerClears() {
     Hold("/p");
     mTable.AddCrash(Record("/q", "r1"));
-    CPPUNIT_ASSERT_EQUAL(size_t{3}, mTable.Clear(Named("/p")));
-    CPPUNIT_ASSERT(!mTable.Held(Named("/p")));
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Crashes(Named("/q")));
-    mTable.Clear(Named("/q"));
+    CPPUNIT_ASSERT_EQUAL(size_t{3}, mTable.Clear(DigestFor("/p")));
+    CPPUNIT_ASSERT(!mTable.Held(DigestFor("/p")));
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Crashes(DigestFor("/q")));
+    mTable.Clear(DigestFor("/q"));
     CPPUNIT_ASSERT(!mTable.HasSuspects());
-    CPPUNIT_ASSERT_EQUAL(size_t{0}, mTable.Clear(Named("/q")));
+    CPPUNIT_ASSERT_EQUAL(size_t{0}, mTable.Clear(DigestFor("/q")));
   }
 
   void ClearedStaysCleared() {
     Hold("/p");
     const std::vector<CrashRecord> old = mTable.Since(0);
-    mTable.Clear(Named("/p"));
-    // A host that was away comes back with what it knew.
+    mTable.Clear(DigestFor("/p"));
+    // A host that was disconnected returns with its old records.
     CPPUNIT_ASSERT(mTable.Merge(old).empty());
-    CPPUNIT_ASSERT(!mTable.Held(Named("/p")));
+    CPPUNIT_ASSERT(!mTable.Held(DigestFor("/p")));
   }
 
-  void NewEndsCountAfterAnAnswer() {
+  void NewCrashesCountAfterAnAnswer() {
     Hold("/p");
-    mTable.Clear(Named("/p"));
+    mTable.Clear(DigestFor("/p"));
     for (const char* replica : {"r4", "r5", "r6"}) {
       mTable.AddCrash(Record("/p", replica));
     }
-    CPPUNIT_ASSERT(mTable.Held(Named("/p")));
+    CPPUNIT_ASSERT(mTable.Held(DigestFor("/p")));
   }
 
-  void HeldForAsLongAsItCounts() {
+  void HeldUntilRecordsExpire() {
     const int64_t span = CrashTable::kRecordLifetime.Count();
-    CPPUNIT_ASSERT(mTable.HeldFor(Named("/p"), 0) == Millis(0));
+    CPPUNIT_ASSERT(mTable.HeldFor(DigestFor("/p"), 0) == Millis(0));
     mTable.AddCrash(Record("/p", "r1", 1000));
     mTable.AddCrash(Record("/p", "r2", 3000));
-    CPPUNIT_ASSERT(mTable.HeldFor(Named("/p"), 3000) == Millis(0));
+    CPPUNIT_ASSERT(mTable.HeldFor(DigestFor("/p"), 3000) == Millis(0));
     mTable.AddCrash(Record("/p", "r3", 4000));
-    CPPUNIT_ASSERT(mTable.HeldFor(Named("/p"), 4000) == Millis(span - 3000));
+    CPPUNIT_ASSERT(mTable.HeldFor(DigestFor("/p"), 4000) ==
+                   Millis(span - 3000));
     mTable.AddCrash(Record("/p", "r4", 9000));
-    CPPUNIT_ASSERT(mTable.HeldFor(Named("/p"), 9000) == Millis(span - 6000));
+    CPPUNIT_ASSERT(mTable.HeldFor(DigestFor("/p"), 9000) ==
+                   Millis(span - 6000));
   }
 
   void OldRecordsAreForgotten() {
@@ -108,87 +110,87 @@
     Hold("/p", 1000);
     mTable.AddCrash(Record("/q", "r1", 5000));
     mTable.Forget(1000 + span);
-    CPPUNIT_ASSERT(mTable.Held(Named("/p")));
+    CPPUNIT_ASSERT(mTable.Held(DigestFor("/p")));
     mTable.Forget(1001 + span);
-    CPPUNIT_ASSERT(!mTable.Held(Named("/p")));
+    CPPUNIT_ASSERT(!mTable.Held(DigestFor("/p")));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Size());
     CPPUNIT_ASSERT(mTable.HasSuspects());
   }
 
-  void ManyDoNotPushOutTheHeld() {
+  void ManyRecordsDoNotEvictHeldRequests() {
     Hold("/p");
     const int many = 10000;
     for (int i = 0; i < many; ++i) {
       mTable.Merge({Record("/x" + std::to_string(i), "r", 2000 + i)});
     }
     CPPUNIT_ASSERT_EQUAL(CrashTable::kMaxRecords, mTable.Size());
-    CPPUNIT_ASSERT(mTable.Held(Named("/p")));
-    // The oldest of them went.
-    CPPUNIT_ASSERT_EQUAL(size_t{0}, mTable.Crashes(Named("/x0")));
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Crashes(Named("/x9999")));
+    CPPUNIT_ASSERT(mTable.Held(DigestFor("/p")));
+    // The oldest records of single crashes were evicted.
+    CPPUNIT_ASSERT_EQUAL(size_t{0}, mTable.Crashes(DigestFor("/x0")));
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Crashes(DigestFor("/x9999")));
   }
 
-  void OnlyOwnNewsIsUnsaved() {
-    int told = 0;
-    mTable.mOnLocalChange = [&] { ++told; };
+  void OnlyLocalChangesAreUnsaved() {
+    int notified = 0;
+    mTable.mOnLocalChange = [&] { ++notified; };
     mTable.Merge({Record("/p", "r1")});
     CPPUNIT_ASSERT(mTable.Unsaved(9).empty());
     mTable.AddCrash(Record("/p", "r2"));
     mTable.AddCrash(Record("/p", "r3"));
-    CPPUNIT_ASSERT_EQUAL(2, told);
+    CPPUNIT_ASSERT_EQUAL(2, notified);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Unsaved(1).size());
     CPPUNIT_ASSERT(mTable.UnsavedIsUrgent());
     mTable.MarkSaved(mTable.Unsaved(9));
     CPPUNIT_ASSERT(mTable.Unsaved(9).empty());
-    mTable.Clear(Named("/p"));
+    mTable.Clear(DigestFor("/p"));
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mTable.Unsaved(9).size());
     CPPUNIT_ASSERT(!mTable.UnsavedIsUrgent());
   }
 
-  void ChangedWhileWrittenIsWrittenAgain() {
+  void RecordChangedDuringAWriteStaysUnsaved() {
     mTable.AddCrash(Record("/p", "r1"));
     const std::vector<CrashRecord> written = mTable.Unsaved(9);
-    mTable.Clear(Named("/p"));
+    mTable.Clear(DigestFor("/p"));
     mTable.MarkSaved(written);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Unsaved(9).size());
     CPPUNIT_ASSERT(mTable.Unsaved(9).front().mCleared);
   }
 
-  void ToldSinceANumber() {
+  void SinceReturnsLaterChanges() {
     mTable.AddCrash(Record("/p", "r1"));
     const int64_t number = mTable.Number();
     CPPUNIT_ASSERT(mTable.Since(number).empty());
     mTable.AddCrash(Record("/p", "r2"));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTable.Since(number).size());
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mTable.Since(0).size());
-    // The mark that a record is cleared is told too.
+    // Cleared marks are changes too.
     const int64_t later = mTable.Number();
-    mTable.Clear(Named("/p"));
+    mTable.Clear(DigestFor("/p"));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mTable.Since(later).size());
   }
 
-  // Hosts that were told the same, in any order and any number of times, come
-  // out with the same.
-  void OrderOfNewsDoesNotMatter() {
+  // Hosts that received the same records have the same state, regardless of
+  // order and repetition.
+  void MergeOrderDoesNotMatter() {
     std::mt19937 random(7);
     for (int round = 0; round < 200; ++round) {
-      std::vector<CrashRecord> news;
+      std::vector<CrashRecord> records;
       for (int i = 0; i < 12; ++i) {
         CrashRecord record = Record("/" + std::to_string(random() % 3),
                                     "r" + std::to_string(random() % 4));
         record.mCleared = random() % 4 == 0;
-        news.push_back(record);
+        records.push_back(record);
       }
       CrashTable one;
-      one.Merge(news);
-      std::shuffle(news.begin(), news.end(), random);
+      one.Merge(records);
+      std::shuffle(records.begin(), records.end(), random);
       CrashTable other;
-      other.Merge({news.begin(), news.begin() + 6});
-      other.Merge(news);
+      other.Merge({records.begin(), records.begin() + 6});
+      other.Merge(records);
       CPPUNIT_ASSERT(one.Since(0) == other.Since(0));
       for (const char* request : {"/0", "/1", "/2"}) {
-        CPPUNIT_ASSERT_EQUAL(one.Held(Named(request)),
-                             other.Held(Named(request)));
+        CPPUNIT_ASSERT_EQUAL(one.Held(DigestFor(request)),
+                             other.Held(DigestFor(request)));
       }
     }
   }
--- a/src/librillwall_coordination/few_texts_many_replicas_test.cpp
+++ b/src/librillwall_coordination/few_texts_many_replicas_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Load pattern: steps of some hundred texts before thousands of replicas.
-/// Loads of weights must follow the texts, not the number of replicas.
+/// Load test: steps of some hundred texts on thousands of replicas. The number
+/// of weight loads must depend on the texts and not on the number of replicas.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -19,8 +19,8 @@
 
 class FewTextsManyReplicasTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FewTextsManyReplicasTest);
-  CPPUNIT_TEST(LoadsFollowTheTexts);
-  CPPUNIT_TEST(LostReplicasAreLoadedAnew);
+  CPPUNIT_TEST(LoadCountFollowsTextCount);
+  CPPUNIT_TEST(LostReplicasAreReplaced);
   CPPUNIT_TEST_SUITE_END();
 
   static std::vector<LoadCandidate> Candidates(size_t aReplicas) {
@@ -35,25 +35,26 @@
     return candidates;
   }
 
-  // Six slots each: 192 texts take half of them.
-  void LoadsFollowTheTexts() {
+  // With six slots per replica, 192 texts take half of the slots of 64
+  // replicas.
+  void LoadCountFollowsTextCount() {
     const std::vector<LoadTarget> targets = {{"m", 2, 100, true, 0, 192},
                                              {"n", 2, 100, true, 0, 48}};
     for (const size_t replicas : {200, 1000, 10000}) {
-      const std::vector<PlannedLoad> picks =
+      const std::vector<PlannedLoad> planned =
           PlanLoads(Candidates(replicas), targets, replicas);
       const auto ofM = std::count_if(
-          picks.begin(), picks.end(),
-          [](const PlannedLoad& aPick) { return aPick.mModel == "m"; });
+          planned.begin(), planned.end(),
+          [](const PlannedLoad& aLoad) { return aLoad.mModel == "m"; });
       CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{64}, ofM);
-      CPPUNIT_ASSERT_EQUAL(size_t{80}, picks.size());
+      CPPUNIT_ASSERT_EQUAL(size_t{80}, planned.size());
     }
-    // Where replicas are few, they are shared as before.
+    // If replicas are few, all of them are used.
     CPPUNIT_ASSERT_EQUAL(size_t{12},
                          PlanLoads(Candidates(12), targets, 12).size());
   }
 
-  void LostReplicasAreLoadedAnew() {
+  void LostReplicasAreReplaced() {
     const std::vector<LoadTarget> targets = {{"m", 2, 100, true, 0, 192}};
     std::vector<LoadCandidate> candidates = Candidates(1000);
     for (size_t i = 0; i < 64; ++i) {
--- a/src/librillwall_coordination/home_regions.cpp
+++ b/src/librillwall_coordination/home_regions.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool Holds(const std::vector<std::string>& aAll, const std::string& aOne) {
+bool Contains(const std::vector<std::string>& aAll, const std::string& aOne) {
   return std::find(aAll.begin(), aAll.end(), aOne) != aAll.end();
 }
 
@@ -16,41 +16,44 @@
   });
 }
 
-void AddUnknown(const AllowedRegions& aRegions, const std::string& aField,
-                const RegionMap& aMap, std::vector<ConfigWarning>& aDoubts) {
+void AddUnknownRegions(const AllowedRegions& aRegions,
+                       const std::string& aField, const RegionMap& aMap,
+                       std::vector<ConfigWarning>& aWarnings) {
   if (!aRegions || aMap.empty()) {
     return;
   }
   for (const std::string& region : *aRegions) {
     if (!IsRegion(aMap, region)) {
-      aDoubts.push_back({aField, "no availability zone is in region " + region +
-                                     "; correct its name"});
+      aWarnings.push_back({aField, "no availability zone belongs to region " +
+                                       region +
+                                       "; correct the name of the region"});
     }
   }
 }
 
 }  // namespace
 
-AllowedRegions BothAllow(const AllowedRegions& aOne,
-                         const AllowedRegions& aOther) {
+AllowedRegions IntersectRegions(const AllowedRegions& aOne,
+                                const AllowedRegions& aOther) {
   if (!aOne || !aOther) {
     return aOne ? aOne : aOther;
   }
-  std::vector<std::string> both;
+  std::vector<std::string> common;
   for (const std::string& region : *aOne) {
-    if (Holds(*aOther, region)) {
-      both.push_back(region);
+    if (Contains(*aOther, region)) {
+      common.push_back(region);
     }
   }
-  return both;
+  return common;
 }
 
 AllowedRegions RegionsOf(const RouteTable& aTable, const Route& aRoute,
                          const std::string& aAccount) {
   const ClientAccount* account =
       aAccount.empty() ? nullptr : aTable.Accounts().FindByName(aAccount);
-  return account == nullptr ? aRoute.mRegions
-                            : BothAllow(aRoute.mRegions, account->mRegions);
+  return account == nullptr
+             ? aRoute.mRegions
+             : IntersectRegions(aRoute.mRegions, account->mRegions);
 }
 
 bool InRegions(const AllowedRegions& aRegions, const RegionMap& aMap,
@@ -59,38 +62,39 @@
     return true;
   }
   const auto found = aMap.find(aZone);
-  return found != aMap.end() && Holds(*aRegions, found->second);
+  return found != aMap.end() && Contains(*aRegions, found->second);
 }
 
 std::vector<ConfigWarning> ConfigWarnings(const RouteTable& aTable,
                                           const RegionMap& aMap) {
-  std::vector<ConfigWarning> doubts;
+  std::vector<ConfigWarning> warnings;
   for (const Route& route : aTable.Routes()) {
     const std::string field = "route " + route.mName + ": regions";
-    AddUnknown(route.mRegions, field, aMap, doubts);
+    AddUnknownRegions(route.mRegions, field, aMap, warnings);
     for (const ClientAccount& account : aTable.Accounts().Accounts()) {
-      const AllowedRegions both = BothAllow(route.mRegions, account.mRegions);
-      if (route.mRegions && account.mRegions && both->empty()) {
-        doubts.push_back({field, "none of them is allowed for the account " +
-                                     account.mName +
-                                     ", whose requests there are refused; "
-                                     "let both name a region"});
+      const AllowedRegions common =
+          IntersectRegions(route.mRegions, account.mRegions);
+      if (route.mRegions && account.mRegions && common->empty()) {
+        warnings.push_back(
+            {field, "none of them is allowed for account " + account.mName +
+                        ", so its requests on this route are refused; "
+                        "list a common region for both"});
       }
     }
   }
   for (const ClientAccount& account : aTable.Accounts().Accounts()) {
-    AddUnknown(account.mRegions, "account " + account.mName + ": regions", aMap,
-               doubts);
+    AddUnknownRegions(account.mRegions,
+                      "account " + account.mName + ": regions", aMap, warnings);
   }
   for (const ServiceSpec& service : aTable.Services()) {
     if (service.mColdDuration > Millis(0) && service.mColdPerSecond <= 0) {
-      doubts.push_back(
+      warnings.push_back(
           {"service " + service.mName + ": rate of cold replicas",
-           "its replicas are cold after a start and no rate is set, so that "
-           "each host sends them one request a second at most; set the rate"});
+           "its replicas are cold after a start but no rate is set, so that "
+           "each host sends them at most one request a second; set the rate"});
     }
   }
-  return doubts;
+  return warnings;
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/home_regions_test.cpp
+++ b/src/librillwall_coordination/home_regions_test.cpp
@@ -25,13 +25,13 @@
   return replica;
 }
 
-ReplicaRequirements Wish(AllowedRegions aRegions, bool aWithinSlots) {
-  ReplicaRequirements wish;
-  wish.mService = "s";
-  wish.mZone = "s1";
-  wish.mNeedsFreeSlot = aWithinSlots;
-  wish.mRegions = std::move(aRegions);
-  return wish;
+ReplicaRequirements Requirements(AllowedRegions aRegions, bool aWithinSlots) {
+  ReplicaRequirements requirements;
+  requirements.mService = "s";
+  requirements.mZone = "s1";
+  requirements.mNeedsFreeSlot = aWithinSlots;
+  requirements.mRegions = std::move(aRegions);
+  return requirements;
 }
 
 RouteTable TableOf(AllowedRegions aOfRoute, AllowedRegions aOfAccount) {
@@ -51,67 +51,71 @@
 
 class HomeRegionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HomeRegionsTest);
-  CPPUNIT_TEST(RouteAndAccountBothBind);
-  CPPUNIT_TEST(ReplicasElsewhereGetNothing);
-  CPPUNIT_TEST(EvacuatedZoneGetsNothing);
-  CPPUNIT_TEST(DoubtsAreNamed);
+  CPPUNIT_TEST(RouteAndAccountRestrictionsBothApply);
+  CPPUNIT_TEST(ReplicasOutsideTheRegionsAreNotChosen);
+  CPPUNIT_TEST(EvacuatedZoneIsNotChosen);
+  CPPUNIT_TEST(WarningsNameFieldAndReason);
   CPPUNIT_TEST_SUITE_END();
 
-  void RouteAndAccountBothBind() {
+  void RouteAndAccountRestrictionsBothApply() {
     const AllowedRegions north = Only("north");
-    const AllowedRegions both = std::vector<std::string>{"north", "south"};
-    const RouteTable table = TableOf(both, north);
+    const AllowedRegions common = std::vector<std::string>{"north", "south"};
+    const RouteTable table = TableOf(common, north);
     const Route& route = table.Routes().front();
     CPPUNIT_ASSERT(RegionsOf(table, route, "a") == north);
-    CPPUNIT_ASSERT(RegionsOf(table, route, "") == both);
-    CPPUNIT_ASSERT(RegionsOf(table, route, "none") == both);
-    CPPUNIT_ASSERT(BothAllow(std::nullopt, north) == north);
-    CPPUNIT_ASSERT(BothAllow(Only("south"), north)->empty());
+    CPPUNIT_ASSERT(RegionsOf(table, route, "") == common);
+    CPPUNIT_ASSERT(RegionsOf(table, route, "none") == common);
+    CPPUNIT_ASSERT(IntersectRegions(std::nullopt, north) == north);
+    CPPUNIT_ASSERT(IntersectRegions(Only("south"), north)->empty());
     CPPUNIT_ASSERT(InRegions(north, kMap, "n2"));
     CPPUNIT_ASSERT(!InRegions(north, kMap, "s1"));
     CPPUNIT_ASSERT(!InRegions(north, kMap, "unknown"));
     CPPUNIT_ASSERT(InRegions(std::nullopt, kMap, "unknown"));
   }
 
-  void ReplicasElsewhereGetNothing() {
+  void ReplicasOutsideTheRegionsAreNotChosen() {
     ReplicaPool pool;
     pool.SetRegions(kMap);
     pool.Update({ReplicaIn("s1"), ReplicaIn("n2")}, false);
     for (const bool slots : {true, false}) {
-      CPPUNIT_ASSERT_EQUAL(std::string("i-s1"),
-                           *pool.Choose(Wish(std::nullopt, slots), Millis(1)));
-      CPPUNIT_ASSERT_EQUAL(std::string("i-n2"),
-                           *pool.Choose(Wish(Only("north"), slots), Millis(1)));
-      CPPUNIT_ASSERT(!pool.Choose(Wish(Only("east"), slots), Millis(1)));
+      CPPUNIT_ASSERT_EQUAL(
+          std::string("i-s1"),
+          *pool.Choose(Requirements(std::nullopt, slots), Millis(1)));
+      CPPUNIT_ASSERT_EQUAL(
+          std::string("i-n2"),
+          *pool.Choose(Requirements(Only("north"), slots), Millis(1)));
+      CPPUNIT_ASSERT(
+          !pool.Choose(Requirements(Only("east"), slots), Millis(1)));
     }
   }
 
-  void EvacuatedZoneGetsNothing() {
+  void EvacuatedZoneIsNotChosen() {
     ReplicaPool pool;
     pool.Update({ReplicaIn("s1"), ReplicaIn("n2")}, false);
     CPPUNIT_ASSERT(pool.Evacuate({"s1"}));
     CPPUNIT_ASSERT(!pool.Evacuate({"s1"}));
     for (const bool slots : {true, false}) {
-      CPPUNIT_ASSERT_EQUAL(std::string("i-n2"),
-                           *pool.Choose(Wish(std::nullopt, slots), Millis(1)));
+      CPPUNIT_ASSERT_EQUAL(
+          std::string("i-n2"),
+          *pool.Choose(Requirements(std::nullopt, slots), Millis(1)));
     }
     CPPUNIT_ASSERT(pool.Evacuate({"s1", "n2"}));
-    CPPUNIT_ASSERT(!pool.Choose(Wish(std::nullopt, true), Millis(1)));
-    // Taken back.
+    CPPUNIT_ASSERT(!pool.Choose(Requirements(std::nullopt, true), Millis(1)));
+    // The evacuation is withdrawn.
     CPPUNIT_ASSERT(pool.Evacuate({}));
-    CPPUNIT_ASSERT(pool.Choose(Wish(std::nullopt, true), Millis(1)));
+    CPPUNIT_ASSERT(pool.Choose(Requirements(std::nullopt, true), Millis(1)));
   }
 
-  void DoubtsAreNamed() {
+  void WarningsNameFieldAndReason() {
     CPPUNIT_ASSERT(
         ConfigWarnings(TableOf(Only("north"), Only("north")), kMap).empty());
     CPPUNIT_ASSERT(
         ConfigWarnings(TableOf(std::nullopt, std::nullopt), kMap).empty());
-    const std::vector<ConfigWarning> doubts =
+    const std::vector<ConfigWarning> warnings =
         ConfigWarnings(TableOf(Only("north"), Only("nroth")), kMap);
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, doubts.size());
-    CPPUNIT_ASSERT(doubts[0].mField.find("route r") != std::string::npos);
-    CPPUNIT_ASSERT(doubts[1].mReason.find("nroth") != std::string::npos);
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, warnings.size());
+    CPPUNIT_ASSERT(warnings[0].mField.find("route r") != std::string::npos);
+    CPPUNIT_ASSERT(warnings[1].mReason.find("nroth") != std::string::npos);
     ServiceSpec service;
     service.mName = "s";
     service.mColdDuration = Millis(3000);
--- a/src/librillwall_coordination/label_test.cpp
+++ b/src/librillwall_coordination/label_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of labels, the staleness bound and a step's digest.
+/// Tests of version labels, the staleness bound and the digest of a step.
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/librillwall_coordination/limiter.cpp
+++ b/src/librillwall_coordination/limiter.cpp
@@ -5,15 +5,15 @@
 namespace rillwall {
 
 namespace {
-constexpr int kShortReports = 2;
+constexpr int kShortfallReports = 2;
 constexpr double kRefusedFactor = 0.9;
-constexpr double kUsualRise = 0.01;
-constexpr double kUsualFall = 0.1;
+constexpr double kUsualRiseWeight = 0.01;
+constexpr double kUsualFallWeight = 0.1;
 constexpr double kOverdueFactor = 3;
-constexpr double kLeastOverdueMs = 500;
+constexpr double kMinOverdueMs = 500;
 constexpr double kBusyShare = 0.8;
 constexpr double kRaiseShare = 0.05;
-constexpr double kLeastRaise = 0.25;
+constexpr double kMinRaise = 0.25;
 
 size_t ClassIndex(CallClass aClass) {
   return aClass == CallClass::Interactive ? 0 : 1;
@@ -27,12 +27,13 @@
   mSlots = slots;
   mLimit = atBound ? slots : std::min(mLimit, slots);
   const auto running = static_cast<double>(aReport.mRunning);
-  const bool held = mSigns.mReports && aReport.mWaiting > 0 && running < slots;
-  mShortReports = held ? mShortReports + 1 : 0;
-  if (mShortReports >= kShortReports) {
+  const bool shortfall =
+      mSignals.mReports && aReport.mWaiting > 0 && running < slots;
+  mShortfallReports = shortfall ? mShortfallReports + 1 : 0;
+  if (mShortfallReports >= kShortfallReports) {
     mLimit = std::clamp(running, 1.0, mLimit);
-  } else if (!held && !mLowered && running >= mLimit * kBusyShare) {
-    mLimit += std::max(mLimit * kRaiseShare, kLeastRaise);
+  } else if (!shortfall && !mLowered && running >= mLimit * kBusyShare) {
+    mLimit += std::max(mLimit * kRaiseShare, kMinRaise);
     mLimit = std::min(mLimit, mSlots);
   }
   mLowered = false;
@@ -44,19 +45,20 @@
   if (usual == 0) {
     usual = time;
   }
-  // The usual time rises slowly, so that a lasting queue is not taken for it.
-  usual += (time - usual) * (time > usual ? kUsualRise : kUsualFall);
+  // The usual time rises slowly, so that it does not adapt to a lasting queue.
+  usual +=
+      (time - usual) * (time > usual ? kUsualRiseWeight : kUsualFallWeight);
 }
 
 bool Limiter::Overdue(CallClass aClass, Millis aTime) const {
   const double usual = mUsual[ClassIndex(aClass)];
-  const double bound = std::max(usual * kOverdueFactor, kLeastOverdueMs);
-  return mSigns.mFirstTokens && usual > 0 &&
+  const double bound = std::max(usual * kOverdueFactor, kMinOverdueMs);
+  return mSignals.mFirstTokens && usual > 0 &&
          static_cast<double>(aTime.Count()) > bound;
 }
 
-void Limiter::Lower(double aHeld) {
-  mLimit = std::clamp(aHeld, 1.0, mLimit);
+void Limiter::Lower(double aSustained) {
+  mLimit = std::clamp(aSustained, 1.0, mLimit);
   mLowered = true;
 }
 
--- a/src/librillwall_coordination/limiter.h
+++ b/src/librillwall_coordination/limiter.h
@@ -1,12 +1,12 @@
 /// \file
-/// An adaptive limit of the streams that an engine should hold.
+/// Adaptive limit on the number of streams of an engine.
 ///
-/// An engine may hold fewer streams than the slots it reports, for instance
-/// when its memory is short. Two signs lower the limit to what the engine is
-/// seen to hold: reports that show calls waiting beside free slots, and own
-/// calls whose first token is long overdue, compared with the usual time of
-/// their class. While neither is seen and the engine is well used, the limit
-/// rises by steps to the reported slots. It is never below 1. Sans-IO.
+/// An engine may run fewer streams than the slots that it reports, for instance
+/// when its memory is short. Two signals lower the limit to the observed number
+/// of running streams: load reports with waiting calls despite free slots, and
+/// own calls whose first token is overdue compared with the usual time of their
+/// class. While neither is seen and the engine is well utilized, the limit
+/// rises in steps up to the reported slots. It is never below 1. Sans-IO.
 
 #pragma once
 
@@ -19,41 +19,45 @@
 
 namespace rillwall {
 
-/// Signs that the limit follows.
+/// Signals that the limit reacts to.
 struct LimiterSignals {
   bool mReports = true;
   bool mFirstTokens = true;
 };
 
+/// Concurrency limit of one engine.
 class Limiter {
  public:
-  explicit Limiter(LimiterSignals aSigns) : mSigns(aSigns) {}
+  explicit Limiter(LimiterSignals aSignals) : mSignals(aSignals) {}
 
-  /// The engine's report; its slots are the upper bound.
+  /// Applies a load report of the engine; its slots are the upper limit.
   void Report(const LoadReport& aReport);
-  /// A call's first token came.
-  /// \param aTime since the call was started
+  /// Records the first token of a call.
+  /// \param aTime time since the call started
   void FirstToken(CallClass aClass, Millis aTime);
   /// \return whether a call without a token has waited unusually long
-  /// \param aTime since the call was started
+  /// \param aTime time since the call started
   bool Overdue(CallClass aClass, Millis aTime) const;
-  /// Own calls are overdue.
-  /// \param aHeld streams that the engine runs, estimated without them
-  void Lower(double aHeld);
-  /// The engine refused a call as full.
+  /// Lowers the limit because own calls are overdue.
+  /// \param aSustained estimated number of streams that the engine runs without
+  /// the overdue calls
+  void Lower(double aSustained);
+  /// Records that the engine refused a call because it is full.
   void Refused();
-  /// \return streams that the engine should hold at most; at least 1
+  /// \return the limit on streams; at least 1
   double Limit() const { return mLimit; }
   double Slots() const { return mSlots; }
 
  private:
   static constexpr double kDefaultSlots = 16;
-  LimiterSignals mSigns;
+  LimiterSignals mSignals;
   double mSlots = kDefaultSlots;
   double mLimit = kDefaultSlots;
-  int mShortReports = 0;  ///< in a row with calls waiting beside free slots
-  bool mLowered = false;  ///< since the last report
-  std::array<double, 2> mUsual = {0, 0};  ///< ms, by class; 0: not known
+  /// Consecutive reports with waiting calls beside free slots.
+  int mShortfallReports = 0;
+  bool mLowered = false;  ///< Lower() was called since the last report
+  /// Usual time to the first token in ms, by class; 0: unknown.
+  std::array<double, 2> mUsual = {0, 0};
 };
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/limiter_test.cpp
+++ b/src/librillwall_coordination/limiter_test.cpp
@@ -16,17 +16,17 @@
 
 class LimiterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LimiterTest);
-  CPPUNIT_TEST(FallsToWhatTheEngineHolds);
+  CPPUNIT_TEST(FallsToTheRunningStreams);
   CPPUNIT_TEST(NeverBelowOne);
-  CPPUNIT_TEST(OverdueFirstTokens);
-  CPPUNIT_TEST(NodesTogetherFillAndDoNotSwamp);
+  CPPUNIT_TEST(LateFirstTokensAreOverdue);
+  CPPUNIT_TEST(NodesTogetherFillTheEngineWithoutOverload);
   CPPUNIT_TEST(OneNodeFillsAnEngine);
-  CPPUNIT_TEST(PartsEvenOut);
-  CPPUNIT_TEST(SlowEngineIsWeighedDownAndTriedAgain);
+  CPPUNIT_TEST(SharesEvenOut);
+  CPPUNIT_TEST(SlowEngineGetsALowerWeightUntilItsSpeedExpires);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void FallsToWhatTheEngineHolds() {
+  void FallsToTheRunningStreams() {
     Limiter limiter{LimiterSignals()};
     limiter.Report({.mRunning = 7, .mWaiting = 3, .mSlots = 16});
     CPPUNIT_ASSERT_EQUAL(16.0, limiter.Limit());
@@ -49,7 +49,7 @@
     CPPUNIT_ASSERT_EQUAL(1.0, limiter.Limit());
   }
 
-  void OverdueFirstTokens() {
+  void LateFirstTokensAreOverdue() {
     Limiter limiter{LimiterSignals()};
     const CallClass kind = CallClass::Interactive;
     CPPUNIT_ASSERT(!limiter.Overdue(kind, Millis(60000)));
@@ -61,9 +61,9 @@
     CPPUNIT_ASSERT(!limiter.Overdue(CallClass::Training, Millis(1000)));
   }
 
-  /// Nodes that want all they can get, before one engine whose reports come a
-  /// round late. Calls that end are followed by others.
-  /// \return the engine's load over the rounds
+  /// Simulates nodes that take as many slots as allowed at one engine, whose
+  /// reports arrive a round late. Calls that end are replaced by others.
+  /// \return load of the engine after each round
   std::vector<int64_t> Rounds(size_t aNodes, int64_t aTarget, double aBack,
                               int aRounds) {
     std::mt19937_64 random(3);
@@ -89,13 +89,14 @@
     return loads;
   }
 
-  void NodesTogetherFillAndDoNotSwamp() {
+  void NodesTogetherFillTheEngineWithoutOverload() {
     for (const size_t nodes : {5u, 10u, 20u}) {
       mOwn.clear();
       const std::vector<int64_t> loads = Rounds(nodes, 20, 0, 300);
       double sum = 0;
       for (size_t round = 0; round < loads.size(); ++round) {
-        // Taking all that is reported free would reach 20 calls a node.
+        // If each node took all slots that are reported free, it would reach 20
+        // calls per node.
         CPPUNIT_ASSERT(loads[round] <= 40);
         sum += round >= 50 ? static_cast<double>(loads[round]) : 0;
       }
@@ -111,7 +112,7 @@
     }
   }
 
-  void PartsEvenOut() {
+  void SharesEvenOut() {
     const auto spread = [this](double aBack) {
       mOwn = {190, 30, 30, 30, 30, 30, 30, 30};
       Rounds(8, 400, aBack, 100);
@@ -122,7 +123,7 @@
     CPPUNIT_ASSERT(spread(0) > 100);
   }
 
-  void SlowEngineIsWeighedDownAndTriedAgain() {
+  void SlowEngineGetsALowerWeightUntilItsSpeedExpires() {
     StreamSpeed speed;
     for (int64_t now = 100; now <= 3000; now += 100) {
       speed.Add(1, Millis(100), Millis(now));
--- a/src/librillwall_coordination/listing_plan.cpp
+++ b/src/librillwall_coordination/listing_plan.cpp
@@ -4,16 +4,17 @@
 
 namespace {
 
-/// While the trainer has to wait anyway. What is lost with an owner is bounded
-/// by this.
-constexpr Millis kGatherLong{700};
-/// A trainer that was given something pauses for half a second before it asks
-/// again. So nothing is given out shortly before its results are due: what ends
-/// then comes with the rest, and a trainer that waits has it at once. From that
-/// on until groups stop to count in full it has everything as it ends.
-constexpr Millis kFromDue{100};
-constexpr Millis kAfterDue{700};
-constexpr Millis kGatherDue{50};
+/// Longest delay while the trainer has to wait anyway. It also limits what is
+/// lost if the owner fails.
+constexpr Millis kBatchDelay{700};
+/// A trainer that received results pauses for half a second before it asks
+/// again. No results are therefore written shortly before their due time: those
+/// that finish then come with the rest, and a waiting trainer gets them at
+/// once. From kDueWindowBegin after the due time until groups no longer count
+/// in full, results are written almost as soon as they finish.
+constexpr Millis kDueWindowBegin{100};
+constexpr Millis kDueWindowEnd{700};
+constexpr Millis kDueBatchDelay{50};
 
 }  // namespace
 
@@ -22,9 +23,9 @@
       (aState.mTargetReached && !aState.mTargetReachedAtLastWrite)) {
     return true;
   }
-  const bool due = aState.mHasDue && aState.mPastDue >= kFromDue &&
-                   aState.mPastDue <= kAfterDue;
-  return aState.mWaited >= (due ? kGatherDue : kGatherLong);
+  const bool due = aState.mHasDue && aState.mPastDue >= kDueWindowBegin &&
+                   aState.mPastDue <= kDueWindowEnd;
+  return aState.mWaited >= (due ? kDueBatchDelay : kBatchDelay);
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/load_plan.cpp
+++ b/src/librillwall_coordination/load_plan.cpp
@@ -7,69 +7,71 @@
 
 namespace {
 
-/// Before any step has told: the named version or the one before.
-constexpr int64_t kUsualLag = 1;
-/// Steps of a trainer that is ahead find a newer version named than they ask
-/// for, and seem to allow more than the next one may: the least of some counts.
-constexpr size_t kStepsRemembered = 4;
-/// What serving one more model costs a replica, in parts of a typical pace: so
-/// a replica that is slower by a third takes a model once the fast ones have
-/// two.
-constexpr double kSharedCost = 0.15;
+/// Allowed lag before any step has been observed: the named version or the one
+/// before it.
+constexpr int64_t kDefaultLag = 1;
+/// Steps of a trainer that is ahead see a newer named version than they ask
+/// for, and seem to allow a larger lag than the next step may. The smallest lag
+/// of several steps is therefore used.
+constexpr size_t kRecentSteps = 4;
+/// Cost of serving one more model, relative to the typical time per event. With
+/// it, a replica that is slower by a third gets a model once the fast replicas
+/// have two.
+constexpr double kExtraModelCost = 0.15;
 
-/// Texts of a step that is expected, before any has told.
-constexpr int64_t kUsualTexts = 256;
-/// Share of the slots of a version's replicas, in percent, that its step leaves
-/// free: batches that are not full are faster, and half of the replicas may be
-/// lost.
-constexpr int64_t kSparePercent = 50;
+/// Assumed texts of a step before any step has been observed.
+constexpr int64_t kDefaultTexts = 256;
+/// Percentage of the slots of a version's replicas that its step leaves free:
+/// batches that are not full are faster, and half of the replicas may be lost.
+constexpr int64_t kFreeSlotPercent = 50;
 constexpr int64_t kPercent = 100;
 
-/// How a model stands before the next load.
-struct Standing {
-  size_t mTarget = 0;  ///< index of the target
-  double mShare = 1;   ///< replicas that its part of the demand is worth
-  size_t mNewest = 0;  ///< replicas with the named version, or loading it
-  size_t mUsable = 0;  ///< replicas that serve its newest step
-  int64_t mRoom = 0;   ///< free slots at these
+/// State of one target before the next load.
+struct TargetStatus {
+  size_t mTarget = 0;        ///< index of the target
+  double mReplicaShare = 1;  ///< replicas for its share of the demand
+  size_t mNewest = 0;        ///< replicas that have or load the named version
+  size_t mUsable = 0;        ///< replicas that can serve its newest step
+  int64_t mFreeSlots = 0;    ///< free slots of the usable replicas
 
-  /// \return loads of the newest version against what it should get
-  double Filled() const { return static_cast<double>(mNewest) / mShare; }
+  /// \return loads of the newest version relative to the wanted number
+  double FillRatio() const {
+    return static_cast<double>(mNewest) / mReplicaShare;
+  }
 };
 
 int64_t FreeSlots(const LoadCandidate& aReplica) {
   return std::max<int64_t>(0, aReplica.mSlots - aReplica.mInFlight);
 }
 
-/// Replicas and targets of one plan. The versions are looked up by name once:
-/// each choice then costs as many comparisons of numbers as there are replicas
-/// times targets.
+/// Replicas and targets of one plan. Versions are looked up by name once, so
+/// that a choice costs one integer comparison per replica and target.
 class LoadTable {
  public:
   LoadTable(std::vector<LoadCandidate> aReplicas,
             const std::vector<LoadTarget>& aTargets);
 
   size_t Loading() const;
-  Standing StandingOf(size_t aTarget) const;
-  /// \return index of the replica that should load a model's weights
-  std::optional<size_t> BestFor(const Standing& aStanding) const;
-  PlannedLoad Order(const Standing& aStanding, size_t aReplica);
+  TargetStatus StatusOf(size_t aTarget) const;
+  /// \return index of the replica that should load the weights of a model
+  std::optional<size_t> BestReplica(const TargetStatus& aStatus) const;
+  PlannedLoad StartLoad(const TargetStatus& aStatus, size_t aReplica);
 
  private:
   int64_t Version(size_t aReplica, size_t aTarget) const {
     return mVersions[aReplica * mTargets.size() + aTarget];
   }
   bool Usable(size_t aReplica, size_t aTarget) const;
-  /// \return models that a replica serves beside this one
+  /// \return number of other models that a replica serves
   size_t OtherModels(size_t aReplica, size_t aTarget) const;
-  /// \return whether a model's weights may be loaded here now
-  bool MayLoad(size_t aReplica, const Standing& aStanding) const;
+  /// \return whether the weights of a model may be loaded there now
+  bool MayLoad(size_t aReplica, const TargetStatus& aStatus) const;
 
   std::vector<LoadCandidate> mReplicas;
   const std::vector<LoadTarget>& mTargets;
   std::vector<int64_t> mVersions;  ///< by replica, then by target
   double mDemand = 0;              ///< of all targets
-  int64_t mSlots = 1;              ///< of a typical replica
+  int64_t mSlots = 1;              ///< average per replica
 };
 
 LoadTable::LoadTable(std::vector<LoadCandidate> aReplicas,
@@ -104,28 +106,28 @@
   return Version(aReplica, aTarget) >= target.mVersion - target.mAllowedLag;
 }
 
-Standing LoadTable::StandingOf(size_t aTarget) const {
+TargetStatus LoadTable::StatusOf(size_t aTarget) const {
   const LoadTarget& target = mTargets[aTarget];
-  Standing standing;
-  standing.mTarget = aTarget;
+  TargetStatus status;
+  status.mTarget = aTarget;
   const auto all = static_cast<double>(mReplicas.size());
   const double part = mDemand > 0 ? target.mDemand / mDemand
                                   : 1 / static_cast<double>(mTargets.size());
-  const auto enough = static_cast<double>(ReplicasFor(target, mSlots));
-  standing.mShare = std::max(1.0, std::min(part * all, enough));
+  const auto needed = static_cast<double>(ReplicasFor(target, mSlots));
+  status.mReplicaShare = std::max(1.0, std::min(part * all, needed));
   for (size_t i = 0; i < mReplicas.size(); ++i) {
     const LoadCandidate& replica = mReplicas[i];
     const int64_t version = Version(i, aTarget);
     if (version == 0 || replica.mDraining || replica.mFailing) {
       continue;
     }
-    standing.mNewest += version >= target.mVersion ? 1 : 0;
+    status.mNewest += version >= target.mVersion ? 1 : 0;
     if (Usable(i, aTarget)) {
-      ++standing.mUsable;
-      standing.mRoom += replica.mLoading ? 0 : FreeSlots(replica);
+      ++status.mUsable;
+      status.mFreeSlots += replica.mLoading ? 0 : FreeSlots(replica);
     }
   }
-  return standing;
+  return status;
 }
 
 size_t LoadTable::OtherModels(size_t aReplica, size_t aTarget) const {
@@ -136,79 +138,82 @@
   return count;
 }
 
-bool LoadTable::MayLoad(size_t aReplica, const Standing& aStanding) const {
+bool LoadTable::MayLoad(size_t aReplica, const TargetStatus& aStatus) const {
   const LoadCandidate& replica = mReplicas[aReplica];
-  const LoadTarget& target = mTargets[aStanding.mTarget];
-  const int64_t version = Version(aReplica, aStanding.mTarget);
+  const LoadTarget& target = mTargets[aStatus.mTarget];
+  const int64_t version = Version(aReplica, aStatus.mTarget);
   if (replica.mLoading || replica.mDraining || version == 0 ||
       version >= target.mVersion) {
     return false;
   }
-  if (!Usable(aReplica, aStanding.mTarget)) {
-    return static_cast<double>(aStanding.mNewest) < aStanding.mShare;
+  if (!Usable(aReplica, aStatus.mTarget)) {
+    return static_cast<double>(aStatus.mNewest) < aStatus.mReplicaShare;
   }
-  // It still serves. Enough of those that do must outlast the next version, and
-  // what it runs must find room at the others.
-  const int64_t others = aStanding.mRoom - FreeSlots(replica);
+  // The replica still serves its weights. Enough usable replicas must remain
+  // for the next version, and its running texts must fit into the free slots of
+  // the others.
+  const int64_t others = aStatus.mFreeSlots - FreeSlots(replica);
   const auto steps =
-      static_cast<size_t>(target.mAllowedLag + 1);  // that a load serves
-  return aStanding.mNewest * steps < aStanding.mUsable &&
-         static_cast<double>(aStanding.mNewest) < aStanding.mShare &&
+      // Steps that one load serves.
+      static_cast<size_t>(target.mAllowedLag + 1);
+  return aStatus.mNewest * steps < aStatus.mUsable &&
+         static_cast<double>(aStatus.mNewest) < aStatus.mReplicaShare &&
          others >= replica.RunsOf(target.mModel);
 }
 
-std::optional<size_t> LoadTable::BestFor(const Standing& aStanding) const {
-  const std::string& model = mTargets[aStanding.mTarget].mModel;
+std::optional<size_t> LoadTable::BestReplica(
+    const TargetStatus& aStatus) const {
+  const std::string& model = mTargets[aStatus.mTarget].mModel;
   using Rank =
       std::tuple<bool, bool, int64_t, double, int64_t, const std::string&>;
   const auto rank = [&](size_t aIndex) -> Rank {
     const LoadCandidate& replica = mReplicas[aIndex];
     const auto others =
-        static_cast<double>(OtherModels(aIndex, aStanding.mTarget));
-    return {replica.mFailing,      Usable(aIndex, aStanding.mTarget),
-            replica.RunsOf(model), replica.mPace + kSharedCost * others,
+        static_cast<double>(OtherModels(aIndex, aStatus.mTarget));
+    return {replica.mFailing,      Usable(aIndex, aStatus.mTarget),
+            replica.RunsOf(model), replica.mPace + kExtraModelCost * others,
             replica.mInFlight,     replica.mId};
   };
   std::optional<size_t> best;
   for (size_t i = 0; i < mReplicas.size(); ++i) {
-    if (MayLoad(i, aStanding) && (!best || rank(i) < rank(*best))) {
+    if (MayLoad(i, aStatus) && (!best || rank(i) < rank(*best))) {
       best = i;
     }
   }
   return best;
 }
 
-PlannedLoad LoadTable::Order(const Standing& aStanding, size_t aReplica) {
-  const LoadTarget& target = mTargets[aStanding.mTarget];
+PlannedLoad LoadTable::StartLoad(const TargetStatus& aStatus, size_t aReplica) {
+  const LoadTarget& target = mTargets[aStatus.mTarget];
   LoadCandidate& replica = mReplicas[aReplica];
   replica.mLoading = ModelVersion{target.mModel, target.mVersion};
-  mVersions[aReplica * mTargets.size() + aStanding.mTarget] = target.mVersion;
+  mVersions[aReplica * mTargets.size() + aStatus.mTarget] = target.mVersion;
   return {replica.mId, target.mModel, target.mVersion, target.mAbortRuns};
 }
 
 }  // namespace
 
 size_t ReplicasFor(const LoadTarget& aTarget, int64_t aSlots) {
-  const int64_t texts = aTarget.mTexts > 0 ? aTarget.mTexts : kUsualTexts;
+  const int64_t texts = aTarget.mTexts > 0 ? aTarget.mTexts : kDefaultTexts;
   const int64_t slots =
-      std::max<int64_t>(1, aSlots * (kPercent - kSparePercent));
+      std::max<int64_t>(1, aSlots * (kPercent - kFreeSlotPercent));
   return static_cast<size_t>((texts * kPercent + slots - 1) / slots);
 }
 
 void AllowedLag::Observe(int64_t aNamed, int64_t aMinVersion) {
   mRecent.push_back(std::max<int64_t>(0, aNamed - aMinVersion));
-  if (mRecent.size() > kStepsRemembered) {
+  if (mRecent.size() > kRecentSteps) {
     mRecent.pop_front();
   }
 }
 
 int64_t AllowedLag::Versions() const {
   if (mRecent.empty()) {
-    return kUsualLag;
+    return kDefaultLag;
   }
   std::deque<int64_t> sorted = mRecent;
   std::sort(sorted.begin(), sorted.end());
-  // A single step that seems to take the newest only came before the name of
+  // A single step that seems to accept only the newest version arrived before
   // its version was known here.
   const bool early = sorted.size() > 1 && sorted[0] == 0;
   return early ? sorted[1] : sorted[0];
@@ -230,27 +235,28 @@
 
 std::vector<PlannedLoad> PlanLoads(std::vector<LoadCandidate> aReplicas,
                                    const std::vector<LoadTarget>& aTargets,
-                                   size_t aAtOnce) {
+                                   size_t aMaxConcurrent) {
   LoadTable table(std::move(aReplicas), aTargets);
-  std::vector<PlannedLoad> picks;
-  for (size_t loading = table.Loading(); loading < aAtOnce; ++loading) {
-    // The model with the fewest loads of its newest version is served first.
-    std::optional<Standing> neediest;
+  std::vector<PlannedLoad> planned;
+  for (size_t loading = table.Loading(); loading < aMaxConcurrent; ++loading) {
+    // The model with the lowest fill ratio comes first.
+    std::optional<TargetStatus> leastFilled;
     size_t replica = 0;
     for (size_t target = 0; target < aTargets.size(); ++target) {
-      const Standing standing = table.StandingOf(target);
-      const std::optional<size_t> best = table.BestFor(standing);
-      if (best && (!neediest || standing.Filled() < neediest->Filled())) {
-        neediest = standing;
+      const TargetStatus status = table.StatusOf(target);
+      const std::optional<size_t> best = table.BestReplica(status);
+      if (best &&
+          (!leastFilled || status.FillRatio() < leastFilled->FillRatio())) {
+        leastFilled = status;
         replica = *best;
       }
     }
-    if (!neediest) {
+    if (!leastFilled) {
       break;
     }
-    picks.push_back(table.Order(*neediest, replica));
+    planned.push_back(table.StartLoad(*leastFilled, replica));
   }
-  return picks;
+  return planned;
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/load_plan_test.cpp
+++ b/src/librillwall_coordination/load_plan_test.cpp
@@ -34,37 +34,38 @@
   return replicas;
 }
 
-/// Carries a pick out at once.
-void Carry(std::vector<LoadCandidate>& aReplicas, const PlannedLoad& aPick) {
+/// Completes a load at once.
+void CarryOut(std::vector<LoadCandidate>& aReplicas, const PlannedLoad& aLoad) {
   for (LoadCandidate& replica : aReplicas) {
     for (ModelVersion& version : replica.mVersions) {
-      if (replica.mId == aPick.mReplica && version.mModel == aPick.mModel) {
-        version.mVersion = aPick.mVersion;
+      if (replica.mId == aLoad.mReplica && version.mModel == aLoad.mModel) {
+        version.mVersion = aLoad.mVersion;
       }
     }
   }
 }
 
-/// Plans and carries out, one load at a time, until nothing is left to load.
-/// \return the loads in their order
-std::vector<PlannedLoad> CarryAll(std::vector<LoadCandidate>& aReplicas,
-                                  const std::vector<LoadTarget>& aTargets) {
+/// Plans and completes loads, one at a time, until there is nothing left to
+/// load.
+/// \return the loads in order
+std::vector<PlannedLoad> CarryOutAll(std::vector<LoadCandidate>& aReplicas,
+                                     const std::vector<LoadTarget>& aTargets) {
   std::vector<PlannedLoad> all;
   while (true) {
-    const std::vector<PlannedLoad> picks = PlanLoads(aReplicas, aTargets, 1);
-    if (picks.empty()) {
+    const std::vector<PlannedLoad> planned = PlanLoads(aReplicas, aTargets, 1);
+    if (planned.empty()) {
       return all;
     }
-    Carry(aReplicas, picks[0]);
-    all.push_back(picks[0]);
+    CarryOut(aReplicas, planned[0]);
+    all.push_back(planned[0]);
   }
 }
 
 std::map<std::string, int> CountByModel(
-    const std::vector<PlannedLoad>& aPicks) {
+    const std::vector<PlannedLoad>& aLoads) {
   std::map<std::string, int> counts;
-  for (const PlannedLoad& pick : aPicks) {
-    ++counts[pick.mModel];
+  for (const PlannedLoad& load : aLoads) {
+    ++counts[load.mModel];
   }
   return counts;
 }
@@ -74,25 +75,25 @@
 class LoadPlanTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LoadPlanTest);
   CPPUNIT_TEST(NothingToDoWithoutATarget);
-  CPPUNIT_TEST(UselessWeightsGoFirst);
-  CPPUNIT_TEST(KeepsToTheLimit);
-  CPPUNIT_TEST(BusyReplicaWaitsForRoom);
-  CPPUNIT_TEST(UselessOneDoesNotWaitForRoom);
-  CPPUNIT_TEST(DrainingIsLeftAlone);
-  CPPUNIT_TEST(FailingOneComesLast);
-  CPPUNIT_TEST(IdleOfTheModelIsLoadedBeforeItsRunners);
-  CPPUNIT_TEST(HalfOfThoseThatServeAreRenewed);
-  CPPUNIT_TEST(LoadsUnderWayCount);
+  CPPUNIT_TEST(UnusableWeightsAreReplacedFirst);
+  CPPUNIT_TEST(ConcurrentLoadsAreLimited);
+  CPPUNIT_TEST(BusyReplicaWaitsUntilOthersHaveSlots);
+  CPPUNIT_TEST(UnusableReplicaIsLoadedWithoutWaiting);
+  CPPUNIT_TEST(DrainingReplicaIsNotLoaded);
+  CPPUNIT_TEST(FailingReplicaIsLoadedLast);
+  CPPUNIT_TEST(ReplicaWithFewestRunsOfTheModelIsLoadedFirst);
+  CPPUNIT_TEST(HalfOfTheServingReplicasAreLoaded);
+  CPPUNIT_TEST(LoadsInProgressCount);
   CPPUNIT_TEST(SharesFollowDemand);
-  CPPUNIT_TEST(BothModelsGetTheirTurn);
-  CPPUNIT_TEST(FastOnesTakeMoreModels);
+  CPPUNIT_TEST(ModelsAlternate);
+  CPPUNIT_TEST(FastReplicasServeMoreModels);
   CPPUNIT_TEST(SuccessiveVersionsRotate);
-  CPPUNIT_TEST(SomeServeWhenTheNextVersionIsNamed);
-  CPPUNIT_TEST(StepsThatTakeTheNewestOnlyNeedAll);
-  CPPUNIT_TEST(StepsThatTakeOldWeightsNeedFewLoads);
-  CPPUNIT_TEST(LagIsLearntFromSteps);
-  CPPUNIT_TEST(OneEarlyStepDoesNotNarrowTheLag);
-  CPPUNIT_TEST(StepOfATrainerThatIsAheadDoesNotWidenTheLag);
+  CPPUNIT_TEST(EachVersionIsServedBeforeTheNextIsNamed);
+  CPPUNIT_TEST(StepsThatNeedTheNewestVersionLoadAllReplicas);
+  CPPUNIT_TEST(StepsThatAcceptOldVersionsNeedFewLoads);
+  CPPUNIT_TEST(LagIsLearnedFromSteps);
+  CPPUNIT_TEST(SingleEarlyStepDoesNotNarrowTheLag);
+  CPPUNIT_TEST(StepsOfAFastTrainerDoNotWidenTheLag);
   CPPUNIT_TEST_SUITE_END();
 
   void NothingToDoWithoutATarget() {
@@ -101,16 +102,16 @@
     CPPUNIT_ASSERT(PlanLoads(Replicas(3, 2), {{"m", 2, 1, true}}, 2).empty());
   }
 
-  void UselessWeightsGoFirst() {
+  void UnusableWeightsAreReplacedFirst() {
     std::vector<LoadCandidate> replicas = Replicas(3, 4);
     replicas[2].mVersions = {{"m", 3}};
-    const auto picks = PlanLoads(replicas, {{"m", 5, 1, true}}, 1);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, picks.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("r2"), picks[0].mReplica);
-    CPPUNIT_ASSERT_EQUAL(int64_t{5}, picks[0].mVersion);
+    const auto planned = PlanLoads(replicas, {{"m", 5, 1, true}}, 1);
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, planned.size());
+    CPPUNIT_ASSERT_EQUAL(std::string("r2"), planned[0].mReplica);
+    CPPUNIT_ASSERT_EQUAL(int64_t{5}, planned[0].mVersion);
   }
 
-  void KeepsToTheLimit() {
+  void ConcurrentLoadsAreLimited() {
     std::vector<LoadCandidate> replicas = Replicas(5, 1);
     const std::vector<LoadTarget> targets = {{"m", 5, 1, true}};
     CPPUNIT_ASSERT_EQUAL(size_t{2}, PlanLoads(replicas, targets, 2).size());
@@ -120,7 +121,7 @@
     CPPUNIT_ASSERT(PlanLoads(replicas, targets, 2).empty());
   }
 
-  void BusyReplicaWaitsForRoom() {
+  void BusyReplicaWaitsUntilOthersHaveSlots() {
     std::vector<LoadCandidate> replicas = Replicas(2, 4);
     for (LoadCandidate& replica : replicas) {
       replica.mInFlight = kSlots;
@@ -131,11 +132,11 @@
     replicas[0].mRuns["m"] = 1;
     replicas[1].mInFlight = kSlots - 1;
     replicas[1].mRuns["m"] = kSlots - 1;
-    const auto picks = PlanLoads(replicas, {{"m", 5, 1, true}}, 1);
-    CPPUNIT_ASSERT_EQUAL(std::string("r0"), picks.at(0).mReplica);
+    const auto planned = PlanLoads(replicas, {{"m", 5, 1, true}}, 1);
+    CPPUNIT_ASSERT_EQUAL(std::string("r0"), planned.at(0).mReplica);
   }
 
-  void UselessOneDoesNotWaitForRoom() {
+  void UnusableReplicaIsLoadedWithoutWaiting() {
     std::vector<LoadCandidate> replicas = Replicas(2, 3);
     for (LoadCandidate& replica : replicas) {
       replica.mInFlight = kSlots;
@@ -145,46 +146,47 @@
                          PlanLoads(replicas, {{"m", 5, 1, true}}, 1).size());
   }
 
-  void DrainingIsLeftAlone() {
+  void DrainingReplicaIsNotLoaded() {
     std::vector<LoadCandidate> replicas = Replicas(1, 3);
     replicas[0].mDraining = true;
     CPPUNIT_ASSERT(PlanLoads(replicas, {{"m", 5, 1, true}}, 1).empty());
   }
 
-  void FailingOneComesLast() {
+  void FailingReplicaIsLoadedLast() {
     std::vector<LoadCandidate> replicas = Replicas(2, 3);
     replicas[0].mFailing = true;
-    const std::vector<PlannedLoad> picks =
+    const std::vector<PlannedLoad> planned =
         PlanLoads(replicas, {{"m", 5, 1, true}}, 2);
-    CPPUNIT_ASSERT_EQUAL(std::string("r1"), picks.at(0).mReplica);
+    CPPUNIT_ASSERT_EQUAL(std::string("r1"), planned.at(0).mReplica);
   }
 
-  void IdleOfTheModelIsLoadedBeforeItsRunners() {
+  void ReplicaWithFewestRunsOfTheModelIsLoadedFirst() {
     std::vector<LoadCandidate> replicas = Replicas(3, 3, 9);
     replicas[0].mRuns["m"] = 1;
     replicas[0].mInFlight = 1;
-    // Runs of other models are not touched by a load.
+    // A load does not affect runs of other models.
     replicas[1].mRuns["n"] = 3;
     replicas[1].mInFlight = 3;
     replicas[2].mRuns["m"] = 2;
     replicas[2].mInFlight = 2;
-    const std::vector<PlannedLoad> picks =
+    const std::vector<PlannedLoad> planned =
         PlanLoads(replicas, {{"m", 5, 1, true}}, 3);
-    CPPUNIT_ASSERT_EQUAL(std::string("r1"), picks.at(0).mReplica);
-    CPPUNIT_ASSERT_EQUAL(std::string("r0"), picks.at(1).mReplica);
-    CPPUNIT_ASSERT_EQUAL(std::string("r2"), picks.at(2).mReplica);
+    CPPUNIT_ASSERT_EQUAL(std::string("r1"), planned.at(0).mReplica);
+    CPPUNIT_ASSERT_EQUAL(std::string("r0"), planned.at(1).mReplica);
+    CPPUNIT_ASSERT_EQUAL(std::string("r2"), planned.at(2).mReplica);
   }
 
-  void HalfOfThoseThatServeAreRenewed() {
+  void HalfOfTheServingReplicasAreLoaded() {
     std::vector<LoadCandidate> replicas = Replicas(8, 1);
     CPPUNIT_ASSERT_EQUAL(size_t{4},
-                         CarryAll(replicas, {{"m", 2, 1, true}}).size());
-    // Named again, the others are of no use and follow.
+                         CarryOutAll(replicas, {{"m", 2, 1, true}}).size());
+    // After the next version is named, the other replicas are unusable and are
+    // loaded too.
     CPPUNIT_ASSERT_EQUAL(size_t{4},
-                         CarryAll(replicas, {{"m", 3, 1, true}}).size());
+                         CarryOutAll(replicas, {{"m", 3, 1, true}}).size());
   }
 
-  void LoadsUnderWayCount() {
+  void LoadsInProgressCount() {
     std::vector<LoadCandidate> replicas = Replicas(2, 1);
     replicas[0].mLoading = ModelVersion{"m", 2};
     CPPUNIT_ASSERT_EQUAL(int64_t{2}, replicas[0].VersionOf("m"));
@@ -194,64 +196,65 @@
   void SharesFollowDemand() {
     std::vector<LoadCandidate> replicas = Replicas(8, 1, 1);
     const auto loads =
-        CarryAll(replicas, {{"m", 9, 300, true}, {"n", 9, 100, true}});
+        CarryOutAll(replicas, {{"m", 9, 300, true}, {"n", 9, 100, true}});
     CPPUNIT_ASSERT_EQUAL(6, CountByModel(loads)["m"]);
     CPPUNIT_ASSERT_EQUAL(2, CountByModel(loads)["n"]);
   }
 
-  void BothModelsGetTheirTurn() {
+  void ModelsAlternate() {
     std::vector<LoadCandidate> replicas = Replicas(8, 1, 1);
     const std::vector<PlannedLoad> loads =
-        CarryAll(replicas, {{"m", 9, 1, true}, {"n", 9, 1, true}});
+        CarryOutAll(replicas, {{"m", 9, 1, true}, {"n", 9, 1, true}});
     CPPUNIT_ASSERT(loads.at(0).mModel != loads.at(1).mModel);
     CPPUNIT_ASSERT_EQUAL(4, CountByModel(loads)["m"]);
     CPPUNIT_ASSERT_EQUAL(4, CountByModel(loads)["n"]);
   }
 
-  void FastOnesTakeMoreModels() {
-    // A third slower, as a part of a service's hardware often is.
+  void FastReplicasServeMoreModels() {
+    // Slower by a third, as part of the hardware of a service often is.
     std::vector<LoadCandidate> replicas = Replicas(4, 1, 1);
     replicas[0].mPace = 1.3;
     replicas[1].mPace = 1.3;
     const std::vector<PlannedLoad> loads =
-        CarryAll(replicas, {{"m", 9, 1, true}, {"n", 9, 1, true}});
+        CarryOutAll(replicas, {{"m", 9, 1, true}, {"n", 9, 1, true}});
     CPPUNIT_ASSERT_EQUAL(size_t{4}, loads.size());
-    for (const PlannedLoad& pick : loads) {
-      CPPUNIT_ASSERT(pick.mReplica == "r2" || pick.mReplica == "r3");
+    for (const PlannedLoad& load : loads) {
+      CPPUNIT_ASSERT(load.mReplica == "r2" || load.mReplica == "r3");
     }
   }
 
   void SuccessiveVersionsRotate() {
-    // Two models on eight replicas: four loads of each version, so the second
-    // one goes to the four that the first left out.
+    // With two models on eight replicas, each version is loaded four times, so
+    // that the second version goes to the four replicas that the first did not
+    // use.
     std::vector<LoadCandidate> replicas = Replicas(8, 1, 9);
     std::vector<LoadTarget> targets = {{"m", 5, 1, true}, {"n", 9, 1, true}};
     std::set<std::string> first;
-    for (const PlannedLoad& pick : CarryAll(replicas, targets)) {
-      first.insert(pick.mReplica);
+    for (const PlannedLoad& load : CarryOutAll(replicas, targets)) {
+      first.insert(load.mReplica);
     }
     targets[0].mVersion = 6;
-    const std::vector<PlannedLoad> second = CarryAll(replicas, targets);
+    const std::vector<PlannedLoad> second = CarryOutAll(replicas, targets);
     CPPUNIT_ASSERT_EQUAL(size_t{4}, first.size());
     CPPUNIT_ASSERT_EQUAL(size_t{4}, second.size());
-    for (const PlannedLoad& pick : second) {
-      CPPUNIT_ASSERT(!first.contains(pick.mReplica));
+    for (const PlannedLoad& load : second) {
+      CPPUNIT_ASSERT(!first.contains(load.mReplica));
     }
   }
 
-  void StepsThatTakeTheNewestOnlyNeedAll() {
+  void StepsThatNeedTheNewestVersionLoadAllReplicas() {
     std::vector<LoadCandidate> replicas = Replicas(8, 1);
     CPPUNIT_ASSERT_EQUAL(size_t{8},
-                         CarryAll(replicas, {{"m", 2, 1, true, 0}}).size());
+                         CarryOutAll(replicas, {{"m", 2, 1, true, 0}}).size());
   }
 
-  void StepsThatTakeOldWeightsNeedFewLoads() {
+  void StepsThatAcceptOldVersionsNeedFewLoads() {
     std::vector<LoadCandidate> replicas = Replicas(9, 1);
     CPPUNIT_ASSERT_EQUAL(size_t{3},
-                         CarryAll(replicas, {{"m", 2, 1, true, 2}}).size());
+                         CarryOutAll(replicas, {{"m", 2, 1, true, 2}}).size());
   }
 
-  void LagIsLearntFromSteps() {
+  void LagIsLearnedFromSteps() {
     AllowedLag lag;
     CPPUNIT_ASSERT_EQUAL(int64_t{1}, lag.Versions());
     lag.Observe(7, 7);
@@ -260,17 +263,17 @@
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, lag.Versions());
   }
 
-  void OneEarlyStepDoesNotNarrowTheLag() {
+  void SingleEarlyStepDoesNotNarrowTheLag() {
     AllowedLag lag;
     lag.Observe(5, 4);
     lag.Observe(5, 5);
     CPPUNIT_ASSERT_EQUAL(int64_t{1}, lag.Versions());
-    lag.Observe(0, 4);  // nothing is known here yet
+    lag.Observe(0, 4);  // no version is known here yet
     lag.Observe(0, 5);
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, lag.Versions());
   }
 
-  void StepOfATrainerThatIsAheadDoesNotWidenTheLag() {
+  void StepsOfAFastTrainerDoNotWidenTheLag() {
     AllowedLag lag;
     lag.Observe(5, 4);
     for (int64_t named = 7; named < 10; ++named) {
@@ -281,12 +284,12 @@
     CPPUNIT_ASSERT_EQUAL(int64_t{2}, lag.Versions());
   }
 
-  void SomeServeWhenTheNextVersionIsNamed() {
+  void EachVersionIsServedBeforeTheNextIsNamed() {
     std::vector<LoadCandidate> replicas = Replicas(6, 1, 1);
     for (int64_t version = 2; version < 12; ++version) {
       const std::vector<LoadTarget> targets = {{"m", version, 2, true},
                                                {"n", version, 1, true}};
-      CarryAll(replicas, targets);
+      CarryOutAll(replicas, targets);
       for (const LoadTarget& target : targets) {
         const auto newest =
             std::count_if(replicas.begin(), replicas.end(),
--- a/src/librillwall_coordination/many_replicas_test.cpp
+++ b/src/librillwall_coordination/many_replicas_test.cpp
@@ -1,7 +1,6 @@
 /// \file
-/// Load pattern: thousands of idle replicas behind few requests. What a host
-/// knows and what it is told must follow its requests, not the number of
-/// replicas.
+/// Load test: thousands of idle replicas and few requests. What a host knows
+/// and is told must depend on its requests, not on the number of replicas.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -42,7 +41,7 @@
   aTable.TakeAll(std::move(entries), false);
 }
 
-SubsetQuestion HostAt(size_t aIndex) {
+SubsetRequest HostAt(size_t aIndex) {
   return {"10.1." + std::to_string(aIndex) + ".1:7720", ZoneName(aIndex)};
 }
 
@@ -58,22 +57,22 @@
 
 class ManyReplicasTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ManyReplicasTest);
-  CPPUNIT_TEST(HostKnowsAsMuchWhateverThereIs);
-  CPPUNIT_TEST(SmallServiceIsKnownWhole);
-  CPPUNIT_TEST(EachReplicaHasAboutAsManyHosts);
-  CPPUNIT_TEST(ChangeIsToldToFewHosts);
-  CPPUNIT_TEST(LeavingReplicaIsReplaced);
+  CPPUNIT_TEST(SubsetSizeDoesNotDependOnReplicaCount);
+  CPPUNIT_TEST(SmallServiceIsListedInFull);
+  CPPUNIT_TEST(SubsetsSpreadHostsOverReplicas);
+  CPPUNIT_TEST(ChangeAffectsFewSubsets);
+  CPPUNIT_TEST(DrainingReplicaIsReplaced);
   CPPUNIT_TEST(LossOfAZoneLeavesReplicas);
-  CPPUNIT_TEST(ZoneWithoutReplicasUsesTheOthers);
-  CPPUNIT_TEST(OwnersUseTheSameReplicas);
-  CPPUNIT_TEST(HalfAListingEmptiesNobody);
-  CPPUNIT_TEST(MissingEntriesWaitForTheirReturn);
-  CPPUNIT_TEST(OldNewsChangeNothing);
-  CPPUNIT_TEST(UnreadEntriesNameNoReplica);
-  CPPUNIT_TEST(DemandRaisesWhatIsKnown);
+  CPPUNIT_TEST(HostInAZoneWithoutReplicasGetsOtherZones);
+  CPPUNIT_TEST(OwnersShareOneWorkingSet);
+  CPPUNIT_TEST(IncompleteListingKeepsMissingEntries);
+  CPPUNIT_TEST(MissingEntriesAreKeptUntilDropped);
+  CPPUNIT_TEST(OlderRevisionsChangeNothing);
+  CPPUNIT_TEST(UnreadableEntriesNameNoReplica);
+  CPPUNIT_TEST(DemandDoublesTheWantedReplicas);
   CPPUNIT_TEST_SUITE_END();
 
-  void HostKnowsAsMuchWhateverThereIs() {
+  void SubsetSizeDoesNotDependOnReplicaCount() {
     for (const size_t replicas : {1000, 10000}) {
       RegistryTable table;
       Fill(table, replicas);
@@ -88,7 +87,7 @@
     }
   }
 
-  void SmallServiceIsKnownWhole() {
+  void SmallServiceIsListedInFull() {
     RegistryTable table;
     Fill(table, 100);
     CPPUNIT_ASSERT(!table.Large());
@@ -96,7 +95,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{100}, table.WorkingSet({}).size());
   }
 
-  void EachReplicaHasAboutAsManyHosts() {
+  void SubsetsSpreadHostsOverReplicas() {
     RegistryTable table;
     Fill(table, 1000);
     constexpr size_t kHosts = 985;
@@ -106,16 +105,16 @@
         ++hosts[replica.mId];
       }
     }
-    // Thirty-two on average.
-    size_t most = 0;
+    // The average is 32.
+    size_t maxHosts = 0;
     for (const auto& [id, count] : hosts) {
-      most = std::max(most, count);
+      maxHosts = std::max(maxHosts, count);
     }
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(most), most < 32 * 4);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(maxHosts), maxHosts < 32 * 4);
     CPPUNIT_ASSERT(hosts.size() > 950);
   }
 
-  void ChangeIsToldToFewHosts() {
+  void ChangeAffectsFewSubsets() {
     RegistryTable table;
     Fill(table, 10000);
     constexpr size_t kHosts = 985;
@@ -133,11 +132,11 @@
       CPPUNIT_ASSERT_EQUAL(knew, differs);
       changed += differs ? 1 : 0;
     }
-    // Three hosts on average know a replica.
+    // On average three hosts know a replica.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(changed), changed < 30);
   }
 
-  void LeavingReplicaIsReplaced() {
+  void DrainingReplicaIsReplaced() {
     RegistryTable table;
     Fill(table, 1000);
     const std::vector<Replica> before = table.SubsetFor(HostAt(2));
@@ -161,11 +160,11 @@
                          table.SubsetFor(HostAt(1)).size());
   }
 
-  void ZoneWithoutReplicasUsesTheOthers() {
+  void HostInAZoneWithoutReplicasGetsOtherZones() {
     RegistryTable table;
     Fill(table, 1000);
-    const SubsetQuestion stranger{"10.9.9.9:1", "elsewhere"};
-    const std::vector<Replica> subset = table.SubsetFor(stranger);
+    const SubsetRequest unknown{"10.9.9.9:1", "elsewhere"};
+    const std::vector<Replica> subset = table.SubsetFor(unknown);
     CPPUNIT_ASSERT_EQUAL(RegistryTable::kDefaultSubset, subset.size());
     std::set<std::string> zones;
     for (const Replica& replica : subset) {
@@ -174,7 +173,7 @@
     CPPUNIT_ASSERT_EQUAL(kZones, zones.size());
   }
 
-  void OwnersUseTheSameReplicas() {
+  void OwnersShareOneWorkingSet() {
     RegistryTable one;
     Fill(one, 10000);
     RegistryTable other;
@@ -182,12 +181,12 @@
     const std::vector<Replica> set = one.WorkingSet({{"s", 500}});
     CPPUNIT_ASSERT_EQUAL(size_t{500}, set.size());
     CPPUNIT_ASSERT(set == other.WorkingSet({{"s", 500}}));
-    // A larger set holds the smaller one.
+    // A larger set includes the smaller one.
     const std::set<std::string> more = IdsOf(one.WorkingSet({{"s", 600}}));
     for (const Replica& replica : set) {
       CPPUNIT_ASSERT(more.contains(replica.mId));
     }
-    // One that leaves moves nothing but its place.
+    // Draining one replica changes nothing else in the set.
     Replica leaving = set.front();
     leaving.mDraining = true;
     one.Put({leaving.mId, 2, leaving});
@@ -199,10 +198,10 @@
     CPPUNIT_ASSERT_EQUAL(size_t{499}, same);
   }
 
-  // A listing that was cut off is an error for its reader, and no listing: the
-  // table is given whole ones only. One that lacks entries while the registry
-  // comes back keeps them.
-  void HalfAListingEmptiesNobody() {
+  // A truncated listing is a read error and never reaches the table. A complete
+  // listing that lacks entries because the registry is still recovering does
+  // not remove them.
+  void IncompleteListingKeepsMissingEntries() {
     RegistryTable table;
     Fill(table, 1000);
     std::vector<RegistryEntry> half;
@@ -213,7 +212,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1000}, table.Size());
   }
 
-  void MissingEntriesWaitForTheirReturn() {
+  void MissingEntriesAreKeptUntilDropped() {
     RegistryTable table;
     Fill(table, 1000);
     table.Remove("i-5", 7, true);
@@ -225,7 +224,7 @@
     CPPUNIT_ASSERT(table.Find("i-6") == nullptr);
   }
 
-  void OldNewsChangeNothing() {
+  void OlderRevisionsChangeNothing() {
     RegistryTable table;
     Fill(table, 200);
     Replica moved = ReplicaAt(5);
@@ -235,12 +234,12 @@
     table.Remove("i-5", 8, false);
     CPPUNIT_ASSERT(table.Find("i-5")->mReplica == moved);
     const uint64_t changes = table.Changes();
-    // A heartbeat.
+    // A heartbeat changes only the revision.
     table.Put({"i-5", 10, moved});
     CPPUNIT_ASSERT_EQUAL(changes, table.Changes());
   }
 
-  void UnreadEntriesNameNoReplica() {
+  void UnreadableEntriesNameNoReplica() {
     RegistryTable table;
     Fill(table, 200);
     for (size_t i = 0; i < 10000; ++i) {
@@ -248,12 +247,12 @@
     }
     CPPUNIT_ASSERT_EQUAL(size_t{200}, table.All().size());
     CPPUNIT_ASSERT_EQUAL(size_t{10200}, table.Size());
-    // One that could be read and can't be any more is as good as gone.
+    // An entry that can no longer be read names no replica.
     table.Put({"i-5", 6, std::nullopt});
     CPPUNIT_ASSERT_EQUAL(size_t{199}, table.All().size());
   }
 
-  void DemandRaisesWhatIsKnown() {
+  void DemandDoublesTheWantedReplicas() {
     ReplicaDemand demand;
     CPPUNIT_ASSERT(!demand.Observe({{"s", {32, 192, 96}}}));
     CPPUNIT_ASSERT(demand.Observe({{"s", {32, 192, 97}}}));
--- a/src/librillwall_coordination/move_plan.cpp
+++ b/src/librillwall_coordination/move_plan.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-/// The two cheapest replicas with a free slot: the second is for texts that run
-/// at the first. Their paces are those with one more text.
-struct Targets {
+/// The two cheapest replicas with a free slot; the second is for texts that run
+/// at the first. The paces include one more text.
+struct MoveTargets {
   std::optional<std::string> mFirst;
   std::optional<std::string> mSecond;
   double mFirstPace = 0;
   double mSecondPace = 0;
 };
 
-Targets FindTargets(const ReplicaPool& aReplicas, ReplicaRequirements aWish,
-                    Millis aNow) {
-  Targets targets;
-  targets.mFirst = aReplicas.Choose(aWish, aNow);
+MoveTargets FindTargets(const ReplicaPool& aReplicas,
+                        ReplicaRequirements aRequirements, Millis aNow) {
+  MoveTargets targets;
+  targets.mFirst = aReplicas.Choose(aRequirements, aNow);
   if (!targets.mFirst) {
     return targets;
   }
   targets.mFirstPace = aReplicas.PaceAt(*targets.mFirst, 1, aNow);
-  aWish.mExcluded.push_back(*targets.mFirst);
-  targets.mSecond = aReplicas.Choose(aWish, aNow);
+  aRequirements.mExcluded.push_back(*targets.mFirst);
+  targets.mSecond = aReplicas.Choose(aRequirements, aNow);
   if (targets.mSecond) {
     targets.mSecondPace = aReplicas.PaceAt(*targets.mSecond, 1, aNow);
   }
@@ -37,16 +37,16 @@
 
 std::vector<PlannedMove> PlanMoves(const std::vector<RunningText>& aTexts,
                                    const ReplicaPool& aReplicas,
-                                   ReplicaRequirements aWish, size_t aMost,
-                                   Millis aNow) {
-  std::map<std::string, Targets> byService;
+                                   ReplicaRequirements aRequirements,
+                                   size_t aMaxMoves, Millis aNow) {
+  std::map<std::string, MoveTargets> byService;
   std::vector<PlannedMove> moves;
   for (const RunningText& text : aTexts) {
     auto [at, added] = byService.try_emplace(text.mService);
-    Targets& targets = at->second;
+    MoveTargets& targets = at->second;
     if (added) {
-      aWish.mService = text.mService;
-      targets = FindTargets(aReplicas, aWish, aNow);
+      aRequirements.mService = text.mService;
+      targets = FindTargets(aReplicas, aRequirements, aNow);
     }
     const bool atFirst = targets.mFirst && *targets.mFirst == text.mReplica;
     const std::optional<std::string>& other =
@@ -57,7 +57,7 @@
     const TextMove move{text.mEvents, text.mExpected,
                         aReplicas.PaceAt(text.mReplica, 0, aNow),
                         atFirst ? targets.mSecondPace : targets.mFirstPace};
-    if (MovePays(move)) {
+    if (IsMoveWorthwhile(move)) {
       moves.push_back({text.mItem, move});
     }
   }
@@ -65,7 +65,7 @@
                    [](const PlannedMove& aOne, const PlannedMove& aOther) {
                      return MoveGain(aOne.mMove) > MoveGain(aOther.mMove);
                    });
-  moves.resize(std::min(moves.size(), aMost));
+  moves.resize(std::min(moves.size(), aMaxMoves));
   return moves;
 }
 
--- a/src/librillwall_coordination/move_plan_test.cpp
+++ b/src/librillwall_coordination/move_plan_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of which texts move, and what a look at many of them asks of the pool.
+/// Tests of which texts move and to which replicas.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -25,30 +25,30 @@
   return {aItem, "s", std::move(aReplica), 4, aExpected};
 }
 
-ReplicaRequirements Wish() {
-  ReplicaRequirements wish;
-  wish.mZone = "z";
-  wish.mModel = "m";
-  wish.mMinVersion = 5;
-  wish.mNeedsFreeSlot = true;
-  return wish;
+ReplicaRequirements Requirements() {
+  ReplicaRequirements requirements;
+  requirements.mZone = "z";
+  requirements.mModel = "m";
+  requirements.mMinVersion = 5;
+  requirements.mNeedsFreeSlot = true;
+  return requirements;
 }
 
 }  // namespace
 
 class MovePlanTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MovePlanTest);
-  CPPUNIT_TEST(SlowOnesMoveToTheFastest);
-  CPPUNIT_TEST(WhoGainsMostGoesFirst);
-  CPPUNIT_TEST(NobodyMovesToWhereItIs);
-  CPPUNIT_TEST(FullReplicasTakeNobody);
-  CPPUNIT_TEST(OtherServicesAreLookedUpApart);
+  CPPUNIT_TEST(TextOnASlowReplicaMovesToTheFastest);
+  CPPUNIT_TEST(LargestGainMovesFirst);
+  CPPUNIT_TEST(TextOnTheFastestReplicaStays);
+  CPPUNIT_TEST(FullReplicasAreNoTargets);
+  CPPUNIT_TEST(EachServiceHasItsOwnTargets);
   CPPUNIT_TEST_SUITE_END();
 
   ReplicaPool mPool;
 
  public:
-  /// A slow, a typical and a fast replica.
+  /// Registers a slow, a typical and a fast replica.
   void setUp() override {
     mPool.Update({ReplicaOf("fast"), ReplicaOf("slow"), ReplicaOf("typical")},
                  false);
@@ -59,18 +59,18 @@
 
  private:
   std::vector<PlannedMove> Plan(const std::vector<RunningText>& aTexts,
-                                size_t aMost = 9) const {
-    return PlanMoves(aTexts, mPool, Wish(), aMost, kNow);
+                                size_t aMaxMoves = 9) const {
+    return PlanMoves(aTexts, mPool, Requirements(), aMaxMoves, kNow);
   }
 
-  void SlowOnesMoveToTheFastest() {
+  void TextOnASlowReplicaMovesToTheFastest() {
     const auto moves = Plan({TextAt(0, "slow")});
     CPPUNIT_ASSERT_EQUAL(size_t{1}, moves.size());
     CPPUNIT_ASSERT_DOUBLES_EQUAL(160, moves[0].mMove.mSourcePace, 1e-9);
     CPPUNIT_ASSERT(moves[0].mMove.mTargetPace < 45);
   }
 
-  void WhoGainsMostGoesFirst() {
+  void LargestGainMovesFirst() {
     const std::vector<RunningText> texts = {
         TextAt(0, "slow", 20), TextAt(1, "slow", 80), TextAt(2, "slow", 50)};
     const auto moves = Plan(texts, 2);
@@ -79,11 +79,11 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, moves[1].mItem);
   }
 
-  void NobodyMovesToWhereItIs() {
+  void TextOnTheFastestReplicaStays() {
     CPPUNIT_ASSERT(Plan({TextAt(0, "fast")}).empty());
   }
 
-  void FullReplicasTakeNobody() {
+  void FullReplicasAreNoTargets() {
     mPool.Start("fast", "m");
     mPool.Start("fast", "m");
     const auto moves = Plan({TextAt(0, "slow")});
@@ -93,7 +93,7 @@
     CPPUNIT_ASSERT(Plan({TextAt(0, "slow")}).empty());
   }
 
-  void OtherServicesAreLookedUpApart() {
+  void EachServiceHasItsOwnTargets() {
     RunningText other = TextAt(1, "slow");
     other.mService = "t";
     const auto moves = Plan({other, TextAt(0, "slow")});
--- a/src/librillwall_coordination/node_directory.cpp
+++ b/src/librillwall_coordination/node_directory.cpp
@@ -9,16 +9,17 @@
 
 namespace {
 
-/// A node that has not asked for so long, while others have, is gone or can't
-/// reach this one: some five questions missed, and a change of the lead.
+/// Silence after which a node is removed, measured while other nodes make
+/// contact. It covers some five missed questions and a change of the lead; a
+/// node that is silent longer is gone or cannot reach this one.
 constexpr Millis kForgetAfter{8000};
-constexpr Millis kSweepEvery{1000};
-/// Nodes of each kind that others are told. Whoever needs one tries two or
-/// three; with a dozen of them, the loss of an availability zone and of a
-/// quarter of the others leaves enough.
-constexpr size_t kToldOfAKind = 12;
-/// The number of hosts is told in steps of so many.
-constexpr size_t kHostsStep = 16;
+constexpr Millis kSweepInterval{1000};
+/// Nodes of each kind that others are told. A node tries two or three of them;
+/// with a dozen, enough remain after the loss of an availability zone and a
+/// quarter of the others.
+constexpr size_t kMaxToldPerKind = 12;
+/// The number of hosts is rounded up to a multiple of this.
+constexpr size_t kHostCountStep = 16;
 
 uint64_t HashOf(const std::string& aAddress) {
   return XXH64(aAddress.data(), aAddress.size(), 0);
@@ -27,7 +28,7 @@
 }  // namespace
 
 void NodeDirectory::RecordContact(const NodeEntry& aNode, Millis aNow) {
-  mNewest = std::max(mNewest, aNow);
+  mNewestContact = std::max(mNewestContact, aNow);
   auto [at, added] = mNodes.try_emplace(aNode.mAddress);
   const bool changed = at->second.mTakesClients != aNode.mTakesClients ||
                        at->second.mZone != aNode.mZone;
@@ -38,21 +39,21 @@
   } else if (changed) {
     Rebuild();
   }
-  if (mNewest - mSweptAt >= kSweepEvery) {
-    mSweptAt = mNewest;
+  if (mNewestContact - mLastSweep >= kSweepInterval) {
+    mLastSweep = mNewestContact;
     ForgetSilent();
   }
 }
 
 void NodeDirectory::Consider(const NodeEntry& aNode) {
-  Choice& told = aNode.mTakesClients ? mToldEntries : mToldOthers;
+  NodesByHash& told = aNode.mTakesClients ? mToldEntries : mToldOthers;
   const uint64_t hash = HashOf(aNode.mAddress);
-  const bool full = told.size() >= kToldOfAKind;
+  const bool full = told.size() >= kMaxToldPerKind;
   if (full && hash > told.rbegin()->first) {
     return;
   }
   told.emplace(hash, aNode);
-  if (told.size() > kToldOfAKind) {
+  if (told.size() > kMaxToldPerKind) {
     told.erase(std::prev(told.end()));
   }
   UpdateTag();
@@ -60,7 +61,7 @@
 
 void NodeDirectory::ForgetSilent() {
   const size_t gone = std::erase_if(mNodes, [this](const auto& aEntry) {
-    return mNewest - aEntry.second.mHeardAt >= kForgetAfter;
+    return mNewestContact - aEntry.second.mLastContact >= kForgetAfter;
   });
   if (gone > 0) {
     Rebuild();
@@ -93,14 +94,14 @@
   for (const NodeEntry& node : aNodes) {
     mNodes[node.mAddress] = {node.mTakesClients, node.mZone, aNow};
   }
-  mNewest = std::max(mNewest, aNow);
+  mNewestContact = std::max(mNewestContact, aNow);
   Rebuild();
 }
 
 std::vector<NodeEntry> NodeDirectory::List() const {
   std::vector<NodeEntry> nodes;
   for (const auto& [address, state] : mNodes) {
-    if (mNewest - state.mHeardAt < kForgetAfter) {
+    if (mNewestContact - state.mLastContact < kForgetAfter) {
       nodes.push_back({address, state.mTakesClients, state.mZone});
     }
   }
@@ -109,7 +110,7 @@
 
 std::vector<NodeEntry> NodeDirectory::Told() const {
   std::vector<NodeEntry> nodes;
-  for (const Choice* choice : {&mToldEntries, &mToldOthers}) {
+  for (const NodesByHash* choice : {&mToldEntries, &mToldOthers}) {
     for (const auto& [hash, node] : *choice) {
       nodes.push_back(node);
     }
@@ -118,13 +119,13 @@
 }
 
 size_t NodeDirectory::Hosts() const {
-  return (mHosts + kHostsStep - 1) / kHostsStep * kHostsStep;
+  return (mHosts + kHostCountStep - 1) / kHostCountStep * kHostCountStep;
 }
 
 bool NodeDirectory::Knows(const std::string& aAddress) const {
   const auto found = mNodes.find(aAddress);
   return found != mNodes.end() &&
-         mNewest - found->second.mHeardAt < kForgetAfter;
+         mNewestContact - found->second.mLastContact < kForgetAfter;
 }
 
 std::vector<std::string> NodeDirectory::Relays(const std::string& aSelf) const {
--- a/src/librillwall_coordination/node_directory_test.cpp
+++ b/src/librillwall_coordination/node_directory_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the list of nodes.
+/// Tests of the list of known nodes.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -17,14 +17,14 @@
 
 class NodeDirectoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NodeDirectoryTest);
-  CPPUNIT_TEST(EntryHostsPassCallsOnFirst);
-  CPPUNIT_TEST(CandidatesTakeNoClients);
+  CPPUNIT_TEST(EntryHostsAreTheFirstRelays);
+  CPPUNIT_TEST(EntryHostsAreNoCandidates);
   CPPUNIT_TEST(SilentNodesAreForgotten);
-  CPPUNIT_TEST(TagFollowsTheList);
-  CPPUNIT_TEST(AdoptedListReplacesTheOwn);
-  CPPUNIT_TEST(HostsAreCountedInSteps);
-  CPPUNIT_TEST(FewOfManyAreTold);
-  CPPUNIT_TEST(ToldChangeOnlyWithThoseNamed);
+  CPPUNIT_TEST(TagChangesWithTheList);
+  CPPUNIT_TEST(AdoptedListReplacesTheOldOne);
+  CPPUNIT_TEST(HostCountIsRoundedUp);
+  CPPUNIT_TEST(FewOfManyNodesAreTold);
+  CPPUNIT_TEST(ToldNodesChangeOnlyWhenOneOfThemDoes);
   CPPUNIT_TEST_SUITE_END();
 
   NodeDirectory mNodes;
@@ -33,20 +33,20 @@
   void setUp() override { mNodes.Adopt({kDisk, kEntry}, kNow); }
 
  private:
-  void EntryHostsPassCallsOnFirst() {
+  void EntryHostsAreTheFirstRelays() {
     CPPUNIT_ASSERT(mNodes.Relays("self") ==
                    std::vector<std::string>({kEntry.mAddress, kDisk.mAddress}));
     CPPUNIT_ASSERT(mNodes.Relays(kEntry.mAddress) ==
                    std::vector<std::string>{kDisk.mAddress});
   }
 
-  void CandidatesTakeNoClients() {
+  void EntryHostsAreNoCandidates() {
     CPPUNIT_ASSERT(mNodes.Candidates("self") ==
                    std::vector<std::string>{kDisk.mAddress});
     CPPUNIT_ASSERT(mNodes.Candidates(kDisk.mAddress).empty());
   }
 
-  void HostsAreCountedInSteps() {
+  void HostCountIsRoundedUp() {
     CPPUNIT_ASSERT_EQUAL(size_t{16}, mNodes.Hosts());
     for (int i = 0; i < 16; ++i) {
       mNodes.RecordContact({"10.0.1." + std::to_string(i) + ":1", true}, kNow);
@@ -69,7 +69,7 @@
     CPPUNIT_ASSERT(!mNodes.Knows("never heard of"));
   }
 
-  void TagFollowsTheList() {
+  void TagChangesWithTheList() {
     const uint64_t tag = mNodes.Tag();
     mNodes.RecordContact(kEntry, kNow);
     CPPUNIT_ASSERT_EQUAL(tag, mNodes.Tag());
@@ -77,13 +77,14 @@
     CPPUNIT_ASSERT(tag != mNodes.Tag());
   }
 
-  void AdoptedListReplacesTheOwn() {
+  void AdoptedListReplacesTheOldOne() {
     mNodes.Adopt({kEntry}, kNow);
     CPPUNIT_ASSERT(mNodes.Candidates("self").empty());
   }
 
-  /// 250 entry hosts and 24 candidates, as at the largest deployment today.
-  void HearMany() {
+  /// Adds 250 entry hosts and 24 candidates, the size of the largest
+  /// deployment.
+  void ContactMany() {
     for (int i = 0; i < 250; ++i) {
       mNodes.RecordContact({"10.1.0." + std::to_string(i) + ":1", true}, kNow);
     }
@@ -92,21 +93,21 @@
     }
   }
 
-  void FewOfManyAreTold() {
-    HearMany();
+  void FewOfManyNodesAreTold() {
+    ContactMany();
     CPPUNIT_ASSERT_EQUAL(size_t{276}, mNodes.List().size());
     CPPUNIT_ASSERT_EQUAL(size_t{24}, mNodes.Told().size());
-    // Whoever is told so tells the same.
+    // A node that adopts this list tells the same one.
     NodeDirectory other;
     other.Adopt(mNodes.Told(), kNow);
     CPPUNIT_ASSERT_EQUAL(mNodes.Tag(), other.Tag());
     CPPUNIT_ASSERT_EQUAL(size_t{12}, other.Candidates("self").size());
   }
 
-  // After a start, 300 nodes that are heard one after the other must not make
-  // the list new for everybody each time.
-  void ToldChangeOnlyWithThoseNamed() {
-    HearMany();
+  // The contacts of 300 nodes after a start, one after the other, must not each
+  // change the list that all nodes are told.
+  void ToldNodesChangeOnlyWhenOneOfThemDoes() {
+    ContactMany();
     uint64_t tag = mNodes.Tag();
     int changes = 0;
     for (int i = 0; i < 300; ++i) {
@@ -115,7 +116,7 @@
       tag = mNodes.Tag();
     }
     CPPUNIT_ASSERT(changes < 30);
-    // One of those named goes silent: another takes its place.
+    // A told node becomes silent, and another one takes its place.
     const std::string named = mNodes.Told().front().mAddress;
     for (const NodeEntry& node : mNodes.List()) {
       if (node.mAddress != named) {
