--- a/src/librillwall_coordination/registry_table.cpp
+++ b/src/librillwall_coordination/registry_table.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Parts of a subset that lie in the host's own availability zone.
-constexpr size_t kNearParts = 3;
+/// kOwnZoneParts of kParts of a subset are in the host's own availability zone.
+constexpr size_t kOwnZoneParts = 3;
 constexpr size_t kParts = 4;
 
 uint64_t HashOf(std::string_view aText) {
@@ -51,11 +51,11 @@
     return;
   }
   if (known.mReplica) {
-    Unlink(*known.mReplica);
+    RemoveFromRing(*known.mReplica);
   }
   known = std::move(aEntry);
   if (known.mReplica) {
-    Link(*known.mReplica);
+    AddToRing(*known.mReplica);
   }
   ++mChanges;
 }
@@ -84,30 +84,30 @@
 
 void RegistryTable::Erase(std::map<std::string, RegistryEntry>::iterator aAt) {
   if (aAt->second.mReplica) {
-    Unlink(*aAt->second.mReplica);
+    RemoveFromRing(*aAt->second.mReplica);
     ++mChanges;
   }
   mMissing.erase(aAt->first);
   mEntries.erase(aAt);
 }
 
-void RegistryTable::Link(const Replica& aReplica) {
+void RegistryTable::AddToRing(const Replica& aReplica) {
   Service& service = mServices[aReplica.mService];
-  const uint64_t place = HashOf(aReplica.mId);
-  service.mAll[place] = &aReplica;
-  service.mZones[aReplica.mZone][place] = &aReplica;
+  const uint64_t position = HashOf(aReplica.mId);
+  service.mAll[position] = &aReplica;
+  service.mZones[aReplica.mZone][position] = &aReplica;
 }
 
-void RegistryTable::Unlink(const Replica& aReplica) {
+void RegistryTable::RemoveFromRing(const Replica& aReplica) {
   const auto found = mServices.find(aReplica.mService);
   if (found == mServices.end()) {
     return;
   }
   Service& service = found->second;
-  const uint64_t place = HashOf(aReplica.mId);
-  service.mAll.erase(place);
+  const uint64_t position = HashOf(aReplica.mId);
+  service.mAll.erase(position);
   Ring& zone = service.mZones[aReplica.mZone];
-  zone.erase(place);
+  zone.erase(position);
   if (zone.empty()) {
     service.mZones.erase(aReplica.mZone);
   }
@@ -145,80 +145,81 @@
   return all;
 }
 
-void RegistryTable::TakeFrom(const Ring& aRing, uint64_t aFrom, size_t aWanted,
-                             std::vector<Replica>& aTaken) {
+void RegistryTable::AppendFromRing(const Ring& aRing, uint64_t aFrom,
+                                   size_t aWanted,
+                                   std::vector<Replica>& aSelected) {
   auto at = aRing.lower_bound(aFrom);
-  for (size_t seen = 0, taken = 0; seen < aRing.size() && taken < aWanted;
+  for (size_t seen = 0, selected = 0; seen < aRing.size() && selected < aWanted;
        ++seen) {
     if (at == aRing.end()) {
       at = aRing.begin();
     }
     if (!at->second->mDraining) {
-      aTaken.push_back(*at->second);
-      ++taken;
+      aSelected.push_back(*at->second);
+      ++selected;
     }
     ++at;
   }
 }
 
-void RegistryTable::AddSubset(const Service& aService,
-                              const SubsetQuestion& aQuestion,
-                              std::vector<Replica>& aTaken) {
+void RegistryTable::AppendSubset(const Service& aService,
+                                 const SubsetRequest& aRequest,
+                                 std::vector<Replica>& aSelected) {
   const size_t wanted = kDefaultSubset;
-  const auto own = aService.mZones.find(aQuestion.mZone);
+  const auto own = aService.mZones.find(aRequest.mZone);
   const size_t others =
       aService.mZones.size() - (own == aService.mZones.end() ? 0 : 1);
-  const size_t before = aTaken.size();
+  const size_t before = aSelected.size();
   if (own != aService.mZones.end()) {
-    const size_t near = others == 0 ? wanted : wanted * kNearParts / kParts;
-    TakeFrom(own->second, HashOf(aQuestion.mHost), near, aTaken);
+    const size_t near = others == 0 ? wanted : wanted * kOwnZoneParts / kParts;
+    AppendFromRing(own->second, HashOf(aRequest.mHost), near, aSelected);
   }
-  size_t left = wanted - std::min(wanted, aTaken.size() - before);
+  size_t left = wanted - std::min(wanted, aSelected.size() - before);
   size_t zones = others;
   for (const auto& [zone, ring] : aService.mZones) {
-    if (zone == aQuestion.mZone || left == 0) {
+    if (zone == aRequest.mZone || left == 0) {
       continue;
     }
     const size_t part = (left + zones - 1) / zones;
-    const size_t had = aTaken.size();
-    TakeFrom(ring, HashOf(aQuestion.mHost + '\n' + zone), part, aTaken);
-    left -= std::min(left, aTaken.size() - had);
+    const size_t had = aSelected.size();
+    AppendFromRing(ring, HashOf(aRequest.mHost + '\n' + zone), part, aSelected);
+    left -= std::min(left, aSelected.size() - had);
     --zones;
   }
 }
 
 std::vector<Replica> RegistryTable::SubsetFor(
-    const SubsetQuestion& aQuestion) const {
-  std::vector<Replica> taken;
+    const SubsetRequest& aRequest) const {
+  std::vector<Replica> selected;
   for (const auto& [name, service] : mServices) {
     if (service.mAll.size() > kFullListLimit) {
-      AddSubset(service, aQuestion, taken);
+      AppendSubset(service, aRequest, selected);
       continue;
     }
-    for (const auto& [place, replica] : service.mAll) {
-      taken.push_back(*replica);
+    for (const auto& [position, replica] : service.mAll) {
+      selected.push_back(*replica);
     }
   }
-  return taken;
+  return selected;
 }
 
 std::vector<Replica> RegistryTable::WorkingSet(
     const std::map<std::string, size_t>& aWanted) const {
-  std::vector<Replica> taken;
+  std::vector<Replica> selected;
   for (const auto& [name, service] : mServices) {
     const auto wanted = aWanted.find(name);
-    const size_t most =
+    const size_t limit =
         std::max(wanted == aWanted.end() ? kDefaultSubset : wanted->second,
                  kFullListLimit);
-    if (service.mAll.size() <= most) {
-      for (const auto& [place, replica] : service.mAll) {
-        taken.push_back(*replica);
+    if (service.mAll.size() <= limit) {
+      for (const auto& [position, replica] : service.mAll) {
+        selected.push_back(*replica);
       }
     } else {
-      TakeFrom(service.mAll, 0, most, taken);
+      AppendFromRing(service.mAll, 0, limit, selected);
     }
   }
-  return taken;
+  return selected;
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/registry_table_bench.cpp
+++ b/src/librillwall_coordination/registry_table_bench.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What it costs to keep very many replicas and to choose among them, by their
+/// Cost of storing very many replicas and of choosing among them, by their
 /// number.
 
 #include <benchmark/benchmark.h>
@@ -38,7 +38,7 @@
   }
 }
 
-/// Two thousand entries were written again, and every tenth has changed.
+/// 2,000 entries are written again, and every tenth of them has changed.
 void TakeChanges(benchmark::State& aState) {
   constexpr size_t kWritten = 2000;
   RegistryTable table;
@@ -63,25 +63,25 @@
 }
 BENCHMARK(SubsetOfAHost)->Arg(1000)->Arg(10000)->Arg(20000);
 
-/// A text is placed at an owner that uses its part of the replicas.
+/// An owner chooses the replica of a text from its working set.
 void ChoiceOfAnOwner(benchmark::State& aState) {
   RegistryTable table;
   Fill(table, static_cast<size_t>(aState.range(0)));
   ReplicaPool pool;
   pool.Update(table.WorkingSet({{"letters-llm", 600}}), false);
-  ReplicaRequirements wish;
-  wish.mService = "letters-llm";
-  wish.mModel = "model-1";
-  wish.mMinVersion = 1;
-  wish.mNeedsFreeSlot = true;
+  ReplicaRequirements requirements;
+  requirements.mService = "letters-llm";
+  requirements.mModel = "model-1";
+  requirements.mMinVersion = 1;
+  requirements.mNeedsFreeSlot = true;
   const Millis now(1000);
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(pool.Choose(wish, now));
+    benchmark::DoNotOptimize(pool.Choose(requirements, now));
   }
 }
 BENCHMARK(ChoiceOfAnOwner)->Arg(1000)->Arg(10000)->Arg(20000);
 
-/// The next version of one of six models, among the replicas of an owner.
+/// An owner plans the loads of the next version of one of six models.
 void PlanOfAnOwner(benchmark::State& aState) {
   RegistryTable table;
   Fill(table, static_cast<size_t>(aState.range(0)));
--- a/src/librillwall_coordination/replica_log.cpp
+++ b/src/librillwall_coordination/replica_log.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Removals remembered: some replacements of all replicas of a large service.
-/// A listener that missed more gets the whole list.
+/// Removals to remember: a few times all replicas of a large service. A
+/// listener that missed more gets the whole list.
 constexpr size_t kMaxRemovals = 1000;
 
-/// Ends a field in the text that is hashed; no field holds it.
+/// Separates fields in the hashed text; no field contains it.
 constexpr char kFieldEnd = '\n';
 
 }  // namespace
@@ -70,20 +70,20 @@
     at = mEntries.erase(at);
   }
   while (mRemovals.size() > kMaxRemovals) {
-    mForgotten = mRemovals.front().mNumber;
+    mForgottenUpTo = mRemovals.front().mNumber;
     mRemovals.pop_front();
   }
 }
 
-ReplicaDelta ReplicaLog::Since(const ReplicaCursor& aMark) const {
+ReplicaDelta ReplicaLog::Since(const ReplicaCursor& aCursor) const {
   ReplicaDelta delta;
   delta.mNumber = mNumber;
   delta.mDigest = mDigest;
-  if (aMark.mDigest != 0 && aMark.mDigest == mDigest) {
+  if (aCursor.mDigest != 0 && aCursor.mDigest == mDigest) {
     return delta;
   }
-  const int64_t known = aMark.mNumber;
-  delta.mFull = known <= 0 || known > mNumber || known < mForgotten;
+  const int64_t known = aCursor.mNumber;
+  delta.mFull = known <= 0 || known > mNumber || known < mForgottenUpTo;
   for (const auto& [id, entry] : mEntries) {
     if (delta.mFull || entry.mNumber > known) {
       delta.mChanged.push_back(entry.mReplica);
--- a/src/librillwall_coordination/replica_log_test.cpp
+++ b/src/librillwall_coordination/replica_log_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of how nodes tell one another which replicas there are.
+/// Tests of the change log of replicas and its copy at a listener.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -20,41 +20,42 @@
 
 class ReplicaLogTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaLogTest);
-  CPPUNIT_TEST(NewListenerGetsAll);
-  CPPUNIT_TEST(ListenerGetsWhatItLacks);
-  CPPUNIT_TEST(NothingNewIsNothingTold);
-  CPPUNIT_TEST(OtherRunMeansAll);
-  CPPUNIT_TEST(ListenerThatMissedMuchGetsAll);
-  CPPUNIT_TEST(ReplicaThatComesBackIsTold);
-  CPPUNIT_TEST(OtherRunWithTheSameListTellsNothing);
-  CPPUNIT_TEST(MissedChangeIsFoundOut);
+  CPPUNIT_TEST(NewListenerGetsFullList);
+  CPPUNIT_TEST(ListenerGetsChangesOnly);
+  CPPUNIT_TEST(UnchangedListSendsNothing);
+  CPPUNIT_TEST(OtherRunSendsFullList);
+  CPPUNIT_TEST(ListenerThatMissedTooMuchGetsFullList);
+  CPPUNIT_TEST(ReplicaThatReturnsIsSent);
+  CPPUNIT_TEST(OtherRunWithTheSameListSendsNothing);
+  CPPUNIT_TEST(MissedChangeIsDetected);
   CPPUNIT_TEST(VersionsAreLeftOut);
   CPPUNIT_TEST_SUITE_END();
 
   ReplicaLog mLog;
   ReplicaMirror mMirror;
 
-  /// Brings the mirror up to date. \return what was told
-  ReplicaDelta Tell() {
-    ReplicaCursor mark = mMirror.Cursor();
-    mark.mNumber = mMirror.Run() == "run" ? mark.mNumber : 0;
-    ReplicaDelta delta = mLog.Since(mark);
+  /// Brings the mirror up to date.
+  /// \return the update
+  ReplicaDelta Update() {
+    ReplicaCursor cursor = mMirror.Cursor();
+    cursor.mNumber = mMirror.Run() == "run" ? cursor.mNumber : 0;
+    ReplicaDelta delta = mLog.Since(cursor);
     CPPUNIT_ASSERT(mMirror.Take("run", delta));
     return delta;
   }
 
-  void NewListenerGetsAll() {
+  void NewListenerGetsFullList() {
     mLog.Take({ReplicaOf("a"), ReplicaOf("b")});
-    CPPUNIT_ASSERT(Tell().mFull);
+    CPPUNIT_ASSERT(Update().mFull);
     CPPUNIT_ASSERT(mMirror.All() ==
                    std::vector<Replica>({ReplicaOf("a"), ReplicaOf("b")}));
   }
 
-  void ListenerGetsWhatItLacks() {
+  void ListenerGetsChangesOnly() {
     mLog.Take({ReplicaOf("a"), ReplicaOf("b"), ReplicaOf("c")});
-    Tell();
+    Update();
     mLog.Take({ReplicaOf("a"), ReplicaOf("b", true), ReplicaOf("d")});
-    const ReplicaDelta delta = Tell();
+    const ReplicaDelta delta = Update();
     CPPUNIT_ASSERT(!delta.mFull);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, delta.mChanged.size());
     CPPUNIT_ASSERT(delta.mGone == std::vector<std::string>{"c"});
@@ -63,59 +64,59 @@
                        {ReplicaOf("a"), ReplicaOf("b", true), ReplicaOf("d")}));
   }
 
-  void NothingNewIsNothingTold() {
+  void UnchangedListSendsNothing() {
     mLog.Take({ReplicaOf("a")});
-    const int64_t number = Tell().mNumber;
+    const int64_t number = Update().mNumber;
     mLog.Take({ReplicaOf("a")});
-    const ReplicaDelta delta = Tell();
+    const ReplicaDelta delta = Update();
     CPPUNIT_ASSERT(delta.mChanged.empty() && delta.mGone.empty());
     CPPUNIT_ASSERT(!delta.mFull);
     CPPUNIT_ASSERT_EQUAL(number, delta.mNumber);
   }
 
-  void OtherRunMeansAll() {
+  void OtherRunSendsFullList() {
     mLog.Take({ReplicaOf("a")});
     const ReplicaDelta earlier{
         7, true, {ReplicaOf("z")}, {}, DigestOf(ReplicaOf("z"))};
     CPPUNIT_ASSERT(mMirror.Take("earlier run", earlier));
     CPPUNIT_ASSERT_EQUAL(int64_t{7}, mMirror.Cursor().mNumber);
-    CPPUNIT_ASSERT(Tell().mFull);
+    CPPUNIT_ASSERT(Update().mFull);
     CPPUNIT_ASSERT(mMirror.All() == std::vector<Replica>{ReplicaOf("a")});
   }
 
-  void ListenerThatMissedMuchGetsAll() {
+  void ListenerThatMissedTooMuchGetsFullList() {
     mLog.Take({ReplicaOf("a")});
-    Tell();
+    Update();
     constexpr int kMany = 1100;
     for (int i = 0; i < kMany; ++i) {
       mLog.Take({ReplicaOf("r" + std::to_string(i))});
     }
-    CPPUNIT_ASSERT(Tell().mFull);
+    CPPUNIT_ASSERT(Update().mFull);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mMirror.All().size());
   }
 
-  void ReplicaThatComesBackIsTold() {
+  void ReplicaThatReturnsIsSent() {
     mLog.Take({ReplicaOf("a"), ReplicaOf("b")});
-    Tell();
+    Update();
     mLog.Take({ReplicaOf("a")});
     mLog.Take({ReplicaOf("a"), ReplicaOf("b")});
-    Tell();
+    Update();
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mMirror.All().size());
   }
 
-  // A new lead and a listener that the old one told: 165 replicas need not be
-  // told to 295 nodes again.
-  void OtherRunWithTheSameListTellsNothing() {
+  // After a change of the lead, a listener that already has the list must not
+  // be sent it again: that would be 165 replicas to each of 295 nodes.
+  void OtherRunWithTheSameListSendsNothing() {
     mLog.Take({ReplicaOf("a"), ReplicaOf("b", true)});
-    Tell();
+    Update();
     ReplicaLog later;
     later.Take({ReplicaOf("c")});
     later.Take({ReplicaOf("b", true), ReplicaOf("a")});
-    const ReplicaCursor mark{0, mMirror.Cursor().mDigest};
-    const ReplicaDelta delta = later.Since(mark);
+    const ReplicaCursor cursor{0, mMirror.Cursor().mDigest};
+    const ReplicaDelta delta = later.Since(cursor);
     CPPUNIT_ASSERT(!delta.mFull && delta.mChanged.empty());
     CPPUNIT_ASSERT(mMirror.Take("later", delta));
-    // What changes from then on is told by the later run's numbers.
+    // Later changes use the sequence numbers of the new run.
     later.Take({ReplicaOf("b"), ReplicaOf("a")});
     const ReplicaDelta change = later.Since(mMirror.Cursor());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, change.mChanged.size());
@@ -124,17 +125,18 @@
                    std::vector<Replica>({ReplicaOf("a"), ReplicaOf("b")}));
   }
 
-  // A listener that has lost one change notices at the next, and asks for all.
-  void MissedChangeIsFoundOut() {
+  // A listener that lost a change detects it at the next update and requests
+  // the whole list.
+  void MissedChangeIsDetected() {
     mLog.Take({ReplicaOf("a"), ReplicaOf("b")});
-    Tell();
+    Update();
     mLog.Take({ReplicaOf("a", true), ReplicaOf("b")});
     const int64_t missed = mLog.Number();
     mLog.Take({ReplicaOf("a", true), ReplicaOf("b"), ReplicaOf("c")});
     const ReplicaDelta wrong = mLog.Since({missed, 0});
     CPPUNIT_ASSERT(!mMirror.Take("run", wrong));
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, mMirror.Cursor().mNumber);
-    CPPUNIT_ASSERT(Tell().mFull);
+    CPPUNIT_ASSERT(Update().mFull);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mMirror.All().size());
   }
 
--- a/src/librillwall_coordination/replica_pace_test.cpp
+++ b/src/librillwall_coordination/replica_pace_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Twelve streams that each get an event at a time, as in a full batch.
+/// Twelve streams that each get an event per step, as in a full batch.
 constexpr int kStreams = 12;
 
 }  // namespace
@@ -17,18 +17,18 @@
 class ReplicaPaceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaPaceTest);
   CPPUNIT_TEST(UnknownAtFirst);
-  CPPUNIT_TEST(OneLateEventHardlyShows);
-  CPPUNIT_TEST(SlowedReplicaShowsWithinHalfASecond);
+  CPPUNIT_TEST(SingleLateEventHasLittleEffect);
+  CPPUNIT_TEST(SlowdownIsSeenWithinHalfASecond);
   CPPUNIT_TEST(IdleReplicaKeepsItsUsualPace);
-  CPPUNIT_TEST(ShortFaultIsNotItsUsualPace);
-  CPPUNIT_TEST(RecoveryShowsAtOnce);
-  CPPUNIT_TEST(StalledStreamCountsOnceOnly);
+  CPPUNIT_TEST(ShortFaultDoesNotSetTheUsualPace);
+  CPPUNIT_TEST(RecoveryIsSeenAtOnce);
+  CPPUNIT_TEST(StalledStreamIsCapped);
   CPPUNIT_TEST_SUITE_END();
 
   ReplicaPace mPace;
   Millis mNow{1000};
 
-  /// Streams at one pace, in ms an event, for a time.
+  /// Observes all streams at one pace, in ms per event, for some time.
   void Run(int64_t aMsPerEvent, Millis aSpan) {
     const Millis until = mNow + aSpan;
     while (mNow < until) {
@@ -41,14 +41,14 @@
 
   void UnknownAtFirst() { CPPUNIT_ASSERT_EQUAL(0.0, mPace.At(mNow)); }
 
-  void OneLateEventHardlyShows() {
+  void SingleLateEventHasLittleEffect() {
     Run(40, Millis(2000));
-    // Prompts that are read between two events delay all streams alike.
+    // Prompts that are read between two events delay all streams.
     Run(80, Millis(80));
     CPPUNIT_ASSERT(mPace.At(mNow) < 50);
   }
 
-  void SlowedReplicaShowsWithinHalfASecond() {
+  void SlowdownIsSeenWithinHalfASecond() {
     Run(40, Millis(2000));
     Run(120, Millis(480));
     CPPUNIT_ASSERT(mPace.At(mNow) > 80);
@@ -59,21 +59,21 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(52, mPace.At(mNow + Millis(30000)), 1);
   }
 
-  void ShortFaultIsNotItsUsualPace() {
+  void ShortFaultDoesNotSetTheUsualPace() {
     Run(40, Millis(10000));
     Run(120, Millis(6000));
     CPPUNIT_ASSERT(mPace.At(mNow) > 110);
     CPPUNIT_ASSERT(mPace.At(mNow + Millis(5000)) < 80);
   }
 
-  void RecoveryShowsAtOnce() {
+  void RecoveryIsSeenAtOnce() {
     Run(120, Millis(8000));
     mNow = mNow + Millis(5000);
     Run(40, Millis(40));
     CPPUNIT_ASSERT(mPace.At(mNow) < 50);
   }
 
-  void StalledStreamCountsOnceOnly() {
+  void StalledStreamIsCapped() {
     Run(40, Millis(2000));
     mPace.Observe(20000, mNow + Millis(20000));
     CPPUNIT_ASSERT(mPace.At(mNow + Millis(20000)) <= 1000);
--- a/src/librillwall_coordination/replica_pool.cpp
+++ b/src/librillwall_coordination/replica_pool.cpp
@@ -8,46 +8,50 @@
 
 namespace {
 
-/// Weight of a new latency in the smoothed one; a slow replica is noticed
-/// within some five answers.
+/// Weight of a new latency in the smoothed latency; a slow replica shows within
+/// some five responses.
 constexpr double kLatencyWeight = 0.25;
-/// First pause after failures in a row, doubled with each up to the longest.
+/// First pause after a failure. It doubles with every consecutive failure, up
+/// to the longest pause.
 constexpr Millis kFirstPause{100};
 constexpr Millis kLongestPause{2000};
 constexpr int kMaxDoublings = 5;
-/// A paused replica is used only if all others are paused too.
+/// Larger than any other cost: a paused replica is used only if all others are
+/// paused too.
 constexpr double kPausedCost = 1000.0;
-/// What another availability zone costs against a share of the slots: its
-/// latency is small, its bytes are paid for.
+/// Cost of another availability zone, relative to a full replica: its latency
+/// is small, but its traffic is billed.
 constexpr double kOtherZoneCost = 0.3;
-/// Latency assumed of a replica that this host has not used yet, in ms: one
-/// that answers a plain request sooner keeps its connection busy, rather than
-/// that each request makes a connection to another replica.
-constexpr double kUnknownLatency = 60.0;
-/// A cold replica is slower; the others are preferred while they have room.
+/// Assumed latency in ms of a replica that this host has not used yet. A
+/// replica that answers plain requests faster keeps being used, so that its
+/// connection is reused instead of opening one to another replica for each
+/// request.
+constexpr double kAssumedLatencyMs = 60.0;
+/// A cold replica is slower; others are preferred while they have free slots.
 constexpr double kColdCost = 0.5;
-/// Latency that counts as much as all slots taken once, in ms.
-constexpr double kLatencyScale = 200.0;
+/// Latency in ms that costs as much as a full set of slots.
+constexpr double kLatencyScaleMs = 200.0;
 
-/// What a replica told of other nodes' requests counts for so long: most of
-/// them have ended by then.
-constexpr Millis kLoadAge{1000};
+/// Time for which a reported load is used; most of its requests have ended by
+/// then.
+constexpr Millis kReportedLoadMaxAge{1000};
 
-/// What a full batch adds to the time that an event takes; with that, texts
-/// spread over replicas of one speed.
+/// Relative increase of the time per event by a full batch. It spreads texts
+/// over replicas of the same speed.
 constexpr double kFullBatchCost = 0.15;
-/// A text's bytes from another availability zone, against the time of its
-/// events: they decide between replicas that are alike.
+/// Cost of the traffic of a text from another availability zone, relative to
+/// the time of its events. It decides only between otherwise equal replicas.
 constexpr double kOtherZoneTextCost = 0.02;
 
-/// Median pace and order by cost may be so old: far less than the time over
-/// which paces are smoothed and for which told loads count.
-constexpr Millis kRankAge{50};
-/// Share by which a replica's pace may differ from the one that it is ordered
-/// by: far less than what a full batch makes (0.15) or slower hardware (0.3).
+/// Maximum age of the median pace and of the order by cost: much shorter than
+/// the time constants of paces and the validity of reported loads.
+constexpr Millis kRankMaxAge{50};
+/// Relative difference of a replica's pace from its ranked pace that is
+/// tolerated: much less than the effect of a full batch (0.15) or of slower
+/// hardware (0.3).
 constexpr double kPaceTolerance = 0.02;
 
-/// \return requests as a part of a replica's slots
+/// \return requests as a fraction of a replica's slots
 double SlotShare(const Replica& aReplica, int64_t aRequests) {
   return static_cast<double>(aRequests) /
          static_cast<double>(std::max<int64_t>(aReplica.mSlots, 1));
@@ -93,7 +97,7 @@
     if (replica.mDraining && !state.mReplica.mDraining) {
       changes.mDraining.push_back(replica.mId);
     }
-    Renew(state, replica);
+    RefreshEntry(state, replica);
   }
   for (auto at = mStates.begin(); at != mStates.end();) {
     if (listed.contains(at->first) || aKeepMissing) {
@@ -107,10 +111,11 @@
   return changes;
 }
 
-void ReplicaPool::Renew(State& aState, const Replica& aReplica) {
+void ReplicaPool::RefreshEntry(State& aState, const Replica& aReplica) {
   const std::vector<ModelVersion> known = std::move(aState.mReplica.mModels);
   aState.mReplica = aReplica;
-  // Versions only grow; an entry written before an order took effect is old.
+  // Versions only increase; a lower one is from an entry written before an
+  // order took effect.
   for (ModelVersion& model : aState.mReplica.mModels) {
     for (const ModelVersion& before : known) {
       if (before.mModel == model.mModel) {
@@ -123,7 +128,7 @@
 void ReplicaPool::Restart(State& aState, const Replica& aReplica) {
   State fresh;
   fresh.mReplica = aReplica;
-  // Their ends are still to be counted.
+  // The ends of these requests are still reported.
   fresh.mInFlight = aState.mInFlight;
   fresh.mRuns = std::move(aState.mRuns);
   aState = std::move(fresh);
@@ -152,7 +157,7 @@
   return found == mStates.end() ? nullptr : &found->second;
 }
 
-void ReplicaPool::PutInOrder(State& aState, Millis aNow) {
+void ReplicaPool::UpdateRank(State& aState, Millis aNow) {
   const Replica& replica = aState.mReplica;
   std::optional<double> rank;
   if (!replica.mDraining && LoadOf(aState, aNow) < replica.mSlots) {
@@ -172,69 +177,73 @@
   }
 }
 
-void ReplicaPool::BringUpToDate(Service& aService, Millis aNow) {
-  if (!aService.mOutdated && aNow - aService.mRankedAt < kRankAge) {
+void ReplicaPool::RefreshRanks(Service& aService, Millis aNow) {
+  if (!aService.mOutdated && aNow - aService.mRankedAt < kRankMaxAge) {
     return;
   }
   aService.mOutdated = false;
   aService.mRankedAt = aNow;
   aService.mTypicalPace = MedianPace(aService, aNow);
   for (State* state : aService.mStates) {
-    PutInOrder(*state, aNow);
+    UpdateRank(*state, aNow);
   }
 }
 
-const ReplicaPool::Service& ReplicaPool::Current(const State& aState,
-                                                 Millis aNow) {
-  BringUpToDate(*aState.mService, aNow);
+const ReplicaPool::Service& ReplicaPool::RefreshedService(const State& aState,
+                                                          Millis aNow) {
+  RefreshRanks(*aState.mService, aNow);
   return *aState.mService;
 }
 
-bool ReplicaPool::Paused(const State& aState, const ReplicaRequirements& aWish,
+bool ReplicaPool::Paused(const State& aState,
+                         const ReplicaRequirements& aRequirements,
                          Millis aNow) {
   if (aNow < aState.mPausedUntil) {
     return true;
   }
-  const auto model = aState.mModelPauses.find(aWish.mModel);
+  const auto model = aState.mModelPauses.find(aRequirements.mModel);
   return model != aState.mModelPauses.end() && aNow < model->second;
 }
 
 int64_t ReplicaPool::LoadOf(const State& aState, Millis aNow) {
-  const bool recent = aNow - aState.mOthersAt < kLoadAge;
-  return aState.mInFlight + (recent ? aState.mOthers : 0);
+  const bool recent = aNow - aState.mLoadReportedAt < kReportedLoadMaxAge;
+  return aState.mInFlight + (recent ? aState.mOtherNodesRequests : 0);
 }
 
 void ReplicaPool::ObserveLoad(const std::string& aId, int64_t aRequests,
                               Millis aNow) {
   State* state = Lookup(aId);
   if (state != nullptr) {
-    state->mOthers = std::max<int64_t>(0, aRequests - state->mInFlight);
-    state->mOthersAt = aNow;
-    PutInOrder(*state, aNow);
+    state->mOtherNodesRequests =
+        std::max<int64_t>(0, aRequests - state->mInFlight);
+    state->mLoadReportedAt = aNow;
+    UpdateRank(*state, aNow);
   }
 }
 
-bool ReplicaPool::Suits(const State& aState, const ReplicaRequirements& aWish,
-                        Millis aNow) const {
+bool ReplicaPool::IsEligible(const State& aState,
+                             const ReplicaRequirements& aRequirements,
+                             Millis aNow) const {
   const Replica& replica = aState.mReplica;
-  if (replica.mService != aWish.mService || replica.mDraining ||
+  if (replica.mService != aRequirements.mService || replica.mDraining ||
       Evacuated(replica.mZone)) {
     return false;
   }
-  if (aWish.mRegions && !InRegions(aWish.mRegions, mRegions, replica.mZone)) {
+  if (aRequirements.mRegions &&
+      !InRegions(aRequirements.mRegions, mRegions, replica.mZone)) {
     return false;
   }
   if (replica.mCold && !aState.mColdSends.Allows(ColdLimit(aState), aNow)) {
     return false;
   }
-  if (!aWish.mModel.empty() &&
-      replica.VersionOf(aWish.mModel) < aWish.mMinVersion) {
+  if (!aRequirements.mModel.empty() &&
+      replica.VersionOf(aRequirements.mModel) < aRequirements.mMinVersion) {
     return false;
   }
-  if (aWish.mNeedsFreeSlot && LoadOf(aState, aNow) >= replica.mSlots) {
+  if (aRequirements.mNeedsFreeSlot && LoadOf(aState, aNow) >= replica.mSlots) {
     return false;
   }
-  const auto& excluded = aWish.mExcluded;
+  const auto& excluded = aRequirements.mExcluded;
   return std::find(excluded.begin(), excluded.end(), replica.mId) ==
          excluded.end();
 }
@@ -265,17 +274,17 @@
   const double before = state->mPace.At(aNow);
   state->mPace.Observe(aMsPerEvent, aNow);
   if (before == 0) {
-    // The first measurement of a replica moves the median at once.
+    // The first measurement of a replica changes the median at once.
     state->mService->mOutdated = true;
     return;
   }
   const double moved = std::abs(state->mPace.At(aNow) - state->mRankedPace);
   if (state->mRank && moved > kPaceTolerance * state->mRankedPace) {
-    PutInOrder(*state, aNow);
+    UpdateRank(*state, aNow);
   }
 }
 
-double ReplicaPool::PaceAt(const std::string& aId, int64_t aMore,
+double ReplicaPool::PaceAt(const std::string& aId, int64_t aExtraTexts,
                            Millis aNow) const {
   const auto found = mStates.find(aId);
   if (found == mStates.end()) {
@@ -284,10 +293,10 @@
   const State& state = found->second;
   double pace = state.mPace.At(aNow);
   if (pace == 0) {
-    // Never measured: it is taken for one like most.
-    pace = Current(state, aNow).mTypicalPace;
+    // A replica without measurements is assumed to be typical.
+    pace = RefreshedService(state, aNow).mTypicalPace;
   }
-  return pace * (1 + kFullBatchCost * SlotShare(state.mReplica, aMore));
+  return pace * (1 + kFullBatchCost * SlotShare(state.mReplica, aExtraTexts));
 }
 
 void ReplicaPool::PauseModel(const std::string& aId, const std::string& aModel,
@@ -308,18 +317,19 @@
   }
 }
 
-double ReplicaPool::Cost(const State& aState, const ReplicaRequirements& aWish,
+double ReplicaPool::Cost(const State& aState,
+                         const ReplicaRequirements& aRequirements,
                          Millis aNow) {
   double cost = SlotShare(aState.mReplica, LoadOf(aState, aNow));
-  cost +=
-      (aState.mLatency > 0 ? aState.mLatency : kUnknownLatency) / kLatencyScale;
-  if (aState.mReplica.mZone != aWish.mZone) {
+  cost += (aState.mLatency > 0 ? aState.mLatency : kAssumedLatencyMs) /
+          kLatencyScaleMs;
+  if (aState.mReplica.mZone != aRequirements.mZone) {
     cost += kOtherZoneCost;
   }
   if (aState.mReplica.mCold) {
     cost += kColdCost;
   }
-  if (Paused(aState, aWish, aNow)) {
+  if (Paused(aState, aRequirements, aNow)) {
     cost += kPausedCost;
   }
   return cost;
@@ -335,27 +345,28 @@
   return cost + (near ? 0 : kOtherZoneTextCost);
 }
 
-std::optional<std::string> ReplicaPool::Choose(const ReplicaRequirements& aWish,
-                                               Millis aNow) const {
-  return aWish.mNeedsFreeSlot ? ChooseFree(aWish, aNow)
-                              : ChooseAny(aWish, aNow);
+std::optional<std::string> ReplicaPool::Choose(
+    const ReplicaRequirements& aRequirements, Millis aNow) const {
+  return aRequirements.mNeedsFreeSlot ? ChooseFree(aRequirements, aNow)
+                                      : ChooseAny(aRequirements, aNow);
 }
 
 std::optional<std::string> ReplicaPool::ChooseFree(
-    const ReplicaRequirements& aWish, Millis aNow) const {
-  const auto found = mServices.find(aWish.mService);
+    const ReplicaRequirements& aRequirements, Millis aNow) const {
+  const auto found = mServices.find(aRequirements.mService);
   if (found == mServices.end()) {
     return std::nullopt;
   }
   Service& service = found->second;
-  if (service.mZone != aWish.mZone) {
-    service.mZone = aWish.mZone;
+  if (service.mZone != aRequirements.mZone) {
+    service.mZone = aRequirements.mZone;
     service.mOutdated = true;
   }
-  BringUpToDate(service, aNow);
+  RefreshRanks(service, aNow);
   for (const Rank& rank : service.mFree) {
     const State& state = *rank.mState;
-    if (Suits(state, aWish, aNow) && !Paused(state, aWish, aNow)) {
+    if (IsEligible(state, aRequirements, aNow) &&
+        !Paused(state, aRequirements, aNow)) {
       return state.mReplica.mId;
     }
   }
@@ -363,8 +374,8 @@
 }
 
 std::optional<std::string> ReplicaPool::ChooseAny(
-    const ReplicaRequirements& aWish, Millis aNow) const {
-  const auto found = mServices.find(aWish.mService);
+    const ReplicaRequirements& aRequirements, Millis aNow) const {
+  const auto found = mServices.find(aRequirements.mService);
   if (found == mServices.end()) {
     return std::nullopt;
   }
@@ -372,11 +383,11 @@
   double bestCost = 0;
   const std::vector<State*>& states = found->second.mStates;
   for (size_t i = 0; i < states.size(); ++i) {
-    const State* state = states[(mFirst + i) % states.size()];
-    if (!Suits(*state, aWish, aNow)) {
+    const State* state = states[(mTieBreakOffset + i) % states.size()];
+    if (!IsEligible(*state, aRequirements, aNow)) {
       continue;
     }
-    const double cost = Cost(*state, aWish, aNow);
+    const double cost = Cost(*state, aRequirements, aNow);
     if (best == nullptr || cost < bestCost) {
       best = state;
       bestCost = cost;
@@ -394,7 +405,7 @@
   if (!aModel.empty()) {
     ++state->mRuns[aModel];
   }
-  PutInOrder(*state, state->mService->mRankedAt);
+  UpdateRank(*state, state->mService->mRankedAt);
 }
 
 void ReplicaPool::Sent(const std::string& aId, Millis aNow) {
@@ -435,7 +446,7 @@
   if (runs != state.mRuns.end() && --runs->second <= 0) {
     state.mRuns.erase(runs);
   }
-  PutInOrder(state, aNow);
+  UpdateRank(state, aNow);
   if (aOutcome == ReplicaOutcome::Abandoned) {
     return;
   }
@@ -497,7 +508,7 @@
   if (found == mStates.end()) {
     return 1;
   }
-  const double typical = Current(found->second, aNow).mTypicalPace;
+  const double typical = RefreshedService(found->second, aNow).mTypicalPace;
   const double pace = found->second.mPace.At(aNow);
   return typical > 0 && pace > 0 ? pace / typical : 1;
 }
--- a/src/librillwall_coordination/replica_pool_test.cpp
+++ b/src/librillwall_coordination/replica_pool_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the choice of replicas, one behaviour each.
+/// Tests of the choice of replicas, one behavior each.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -23,61 +23,62 @@
   return replica;
 }
 
-ReplicaRequirements Wish() {
-  ReplicaRequirements wish;
-  wish.mService = "s";
-  wish.mZone = "z";
-  return wish;
+ReplicaRequirements Requirements() {
+  ReplicaRequirements requirements;
+  requirements.mService = "s";
+  requirements.mZone = "z";
+  return requirements;
 }
 
-ReplicaRequirements ModelWish(int64_t aMinVersion) {
-  ReplicaRequirements wish = Wish();
-  wish.mModel = "m";
-  wish.mMinVersion = aMinVersion;
-  wish.mNeedsFreeSlot = true;
-  return wish;
+ReplicaRequirements ModelRequirements(int64_t aMinVersion) {
+  ReplicaRequirements requirements = Requirements();
+  requirements.mModel = "m";
+  requirements.mMinVersion = aMinVersion;
+  requirements.mNeedsFreeSlot = true;
+  return requirements;
 }
 
-std::string Chosen(const ReplicaPool& aPool, const ReplicaRequirements& aWish,
+std::string Chosen(const ReplicaPool& aPool,
+                   const ReplicaRequirements& aRequirements,
                    Millis aNow = kNow) {
-  return aPool.Choose(aWish, aNow).value_or("none");
+  return aPool.Choose(aRequirements, aNow).value_or("none");
 }
 
 }  // namespace
 
 class ReplicaPoolTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaPoolTest);
-  CPPUNIT_TEST(PrefersOwnZoneUntilItIsBusier);
-  CPPUNIT_TEST(DrainingAndGoneGetNothing);
-  CPPUNIT_TEST(MissingEntriesAreKeptWhenAsked);
-  CPPUNIT_TEST(ExcludedAreLeftOut);
-  CPPUNIT_TEST(SlotsBoundModelRequests);
-  CPPUNIT_TEST(OldWeightsGetNothing);
-  CPPUNIT_TEST(FailuresPauseAndGrow);
-  CPPUNIT_TEST(PausedOneServesIfItIsTheOnlyOne);
-  CPPUNIT_TEST(ModelPauseLeavesOtherModels);
+  CPPUNIT_TEST(OwnZoneIsPreferredUntilBusier);
+  CPPUNIT_TEST(DrainingAndRemovedReplicasAreNotChosen);
+  CPPUNIT_TEST(MissingEntriesAreKeptIfRequested);
+  CPPUNIT_TEST(ExcludedReplicasAreNotChosen);
+  CPPUNIT_TEST(SlotsLimitModelRequests);
+  CPPUNIT_TEST(ReplicaWithOldWeightsIsNotChosen);
+  CPPUNIT_TEST(PauseGrowsWithFailures);
+  CPPUNIT_TEST(PausedReplicaIsTheLastResort);
+  CPPUNIT_TEST(ModelPauseDoesNotAffectOtherModels);
   CPPUNIT_TEST(ResumeEndsPauses);
-  CPPUNIT_TEST(KnownVersionDoesNotFall);
-  CPPUNIT_TEST(RestartUnderTheSameIdForgets);
+  CPPUNIT_TEST(KnownVersionDoesNotDecrease);
+  CPPUNIT_TEST(RestartUnderTheSameIdResetsState);
   CPPUNIT_TEST(EntryOfAnEarlierStartChangesNothing);
-  CPPUNIT_TEST(SlowStreamsShow);
-  CPPUNIT_TEST(AnotherTextSlowsABatch);
-  CPPUNIT_TEST(UnmeasuredOneCountsAsTypical);
-  CPPUNIT_TEST(ZoneDecidesBetweenReplicasThatAreAlike);
+  CPPUNIT_TEST(PaceIsMeasuredPerReplica);
+  CPPUNIT_TEST(AnotherTextRaisesThePace);
+  CPPUNIT_TEST(UnmeasuredReplicaHasTheMedianPace);
+  CPPUNIT_TEST(OwnZoneBreaksTies);
   CPPUNIT_TEST(RunsAreCountedByModel);
-  CPPUNIT_TEST(FailingEndsWithItsPause);
-  CPPUNIT_TEST(SlowReplicaComesLast);
-  CPPUNIT_TEST(TellsWhatChanged);
+  CPPUNIT_TEST(FailingLastsAsLongAsThePause);
+  CPPUNIT_TEST(SlowReplicaIsChosenLast);
+  CPPUNIT_TEST(UpdateReportsChanges);
   CPPUNIT_TEST(OtherNodesRequestsTakeSlots);
-  CPPUNIT_TEST(OldLoadIsForgotten);
-  CPPUNIT_TEST(FewRequestsKeepFewConnections);
+  CPPUNIT_TEST(OldLoadReportsExpire);
+  CPPUNIT_TEST(FewRequestsUseFewReplicas);
   CPPUNIT_TEST_SUITE_END();
 
   ReplicaPool mPool;
 
-  // Requests now and then, one at a time, before many replicas: each one that
-  // is used costs a connection. One that turns slow is left for another.
-  void FewRequestsKeepFewConnections() {
+  // Occasional single requests with many replicas: each replica that is used
+  // costs a connection, so the same one is used until it becomes slow.
+  void FewRequestsUseFewReplicas() {
     std::vector<Replica> replicas;
     for (int i = 0; i < 32; ++i) {
       replicas.push_back(ReplicaOf("i-" + std::to_string(i)));
@@ -85,7 +86,7 @@
     mPool.Update(replicas, false);
     std::set<std::string> used;
     const auto request = [&](Millis aNow, Millis aTakes) {
-      const std::string id = Chosen(mPool, Wish(), aNow);
+      const std::string id = Chosen(mPool, Requirements(), aNow);
       mPool.Start(id);
       mPool.End(id, ReplicaOutcome::Served, aTakes, aNow + aTakes);
       used.insert(id);
@@ -100,90 +101,95 @@
       request(Millis(i * 1000), Millis(200));
     }
     CPPUNIT_ASSERT(used.size() > 5);
-    // Another host begins with another one.
+    // Another host starts with a different replica.
     ReplicaPool other;
     other.SetTieBreakOffset(7);
     other.Update(replicas, false);
-    CPPUNIT_ASSERT(Chosen(other, Wish()) != *used.begin());
+    CPPUNIT_ASSERT(Chosen(other, Requirements()) != *used.begin());
   }
 
-  void PrefersOwnZoneUntilItIsBusier() {
+  void OwnZoneIsPreferredUntilBusier() {
     mPool.Update({ReplicaOf("far", "y"), ReplicaOf("near")}, false);
-    CPPUNIT_ASSERT_EQUAL(std::string("near"), Chosen(mPool, Wish()));
+    CPPUNIT_ASSERT_EQUAL(std::string("near"), Chosen(mPool, Requirements()));
     mPool.Start("near");
-    CPPUNIT_ASSERT_EQUAL(std::string("far"), Chosen(mPool, Wish()));
+    CPPUNIT_ASSERT_EQUAL(std::string("far"), Chosen(mPool, Requirements()));
   }
 
-  void DrainingAndGoneGetNothing() {
+  void DrainingAndRemovedReplicasAreNotChosen() {
     Replica leaving = ReplicaOf("a");
     mPool.Update({leaving, ReplicaOf("b", "y")}, false);
     leaving.mDraining = true;
     mPool.Update({leaving, ReplicaOf("b", "y")}, false);
-    CPPUNIT_ASSERT_EQUAL(std::string("b"), Chosen(mPool, Wish()));
+    CPPUNIT_ASSERT_EQUAL(std::string("b"), Chosen(mPool, Requirements()));
     CPPUNIT_ASSERT(mPool.Find("a")->mDraining);
     mPool.Update({leaving}, false);
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(mPool, Wish()));
+    CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(mPool, Requirements()));
     CPPUNIT_ASSERT(mPool.Find("b") == nullptr);
   }
 
-  void MissingEntriesAreKeptWhenAsked() {
+  void MissingEntriesAreKeptIfRequested() {
     mPool.Update({ReplicaOf("a")}, false);
     mPool.Update({}, true);
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, Wish()));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, Requirements()));
     mPool.Update({}, false);
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(mPool, Wish()));
+    CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(mPool, Requirements()));
   }
 
-  void ExcludedAreLeftOut() {
+  void ExcludedReplicasAreNotChosen() {
     mPool.Update({ReplicaOf("a"), ReplicaOf("b")}, false);
-    ReplicaRequirements wish = Wish();
-    wish.mExcluded = {"a"};
-    CPPUNIT_ASSERT_EQUAL(std::string("b"), Chosen(mPool, wish));
+    ReplicaRequirements requirements = Requirements();
+    requirements.mExcluded = {"a"};
+    CPPUNIT_ASSERT_EQUAL(std::string("b"), Chosen(mPool, requirements));
   }
 
-  void SlotsBoundModelRequests() {
+  void SlotsLimitModelRequests() {
     mPool.Update({ReplicaOf("a")}, false);
     mPool.Start("a");
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelWish(1)));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelRequirements(1)));
     mPool.Start("a");
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(mPool, ModelWish(1)));
+    CPPUNIT_ASSERT_EQUAL(std::string("none"),
+                         Chosen(mPool, ModelRequirements(1)));
     mPool.End("a", ReplicaOutcome::Abandoned, Millis(0), kNow);
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelWish(1)));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelRequirements(1)));
   }
 
-  void OldWeightsGetNothing() {
+  void ReplicaWithOldWeightsIsNotChosen() {
     mPool.Update({ReplicaOf("a")}, false);
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelWish(5)));
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(mPool, ModelWish(6)));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelRequirements(5)));
+    CPPUNIT_ASSERT_EQUAL(std::string("none"),
+                         Chosen(mPool, ModelRequirements(6)));
     mPool.UpdateVersion("a", "m", 6);
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelWish(6)));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelRequirements(6)));
   }
 
-  void FailuresPauseAndGrow() {
+  void PauseGrowsWithFailures() {
     mPool.Update({ReplicaOf("a"), ReplicaOf("b", "y")}, false);
     mPool.End("a", ReplicaOutcome::Failed, Millis(0), kNow);
-    CPPUNIT_ASSERT_EQUAL(std::string("b"), Chosen(mPool, Wish()));
+    CPPUNIT_ASSERT_EQUAL(std::string("b"), Chosen(mPool, Requirements()));
     const Millis after = kNow + Millis(150);
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, Wish(), after));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"),
+                         Chosen(mPool, Requirements(), after));
     mPool.End("a", ReplicaOutcome::Failed, Millis(0), after);
     CPPUNIT_ASSERT_EQUAL(std::string("b"),
-                         Chosen(mPool, Wish(), after + Millis(150)));
+                         Chosen(mPool, Requirements(), after + Millis(150)));
   }
 
-  void PausedOneServesIfItIsTheOnlyOne() {
+  void PausedReplicaIsTheLastResort() {
     mPool.Update({ReplicaOf("a")}, false);
     mPool.End("a", ReplicaOutcome::Unreachable, Millis(0), kNow);
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, Wish()));
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(mPool, ModelWish(1)));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, Requirements()));
+    CPPUNIT_ASSERT_EQUAL(std::string("none"),
+                         Chosen(mPool, ModelRequirements(1)));
   }
 
-  void ModelPauseLeavesOtherModels() {
+  void ModelPauseDoesNotAffectOtherModels() {
     Replica replica = ReplicaOf("a");
     replica.mModels.push_back({"n", 5});
     mPool.Update({replica}, false);
     mPool.PauseModel("a", "m", kNow + Millis(100));
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(mPool, ModelWish(1)));
-    ReplicaRequirements other = ModelWish(1);
+    CPPUNIT_ASSERT_EQUAL(std::string("none"),
+                         Chosen(mPool, ModelRequirements(1)));
+    ReplicaRequirements other = ModelRequirements(1);
     other.mModel = "n";
     CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, other));
   }
@@ -193,11 +199,12 @@
     mPool.PauseModel("a", "m", kNow + Millis(100));
     mPool.End("a", ReplicaOutcome::Failed, Millis(0), kNow);
     mPool.Resume("a");
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelWish(1)));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), Chosen(mPool, ModelRequirements(1)));
   }
 
-  /// As when a replica crashes behind a cut and is back with its old weights.
-  void RestartUnderTheSameIdForgets() {
+  /// The replica crashes, unseen because of a network partition, and returns
+  /// with its old weights.
+  void RestartUnderTheSameIdResetsState() {
     ReplicaPool pool;
     Replica replica = ReplicaOf("a");
     replica.mStartedAtMs = 1000;
@@ -212,10 +219,12 @@
     CPPUNIT_ASSERT(changes.mAdded.empty());
     CPPUNIT_ASSERT_EQUAL(replica.VersionOf("m"),
                          pool.Find("a")->VersionOf("m"));
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), Chosen(pool, ModelWish(9)));
-    CPPUNIT_ASSERT_EQUAL(std::string("a"),
-                         Chosen(pool, ModelWish(replica.VersionOf("m")), kNow));
-    // The request that was under way ends after all.
+    CPPUNIT_ASSERT_EQUAL(std::string("none"),
+                         Chosen(pool, ModelRequirements(9)));
+    CPPUNIT_ASSERT_EQUAL(
+        std::string("a"),
+        Chosen(pool, ModelRequirements(replica.VersionOf("m")), kNow));
+    // The request in flight at the restart still ends.
     CPPUNIT_ASSERT_EQUAL(int64_t{1}, pool.InFlight("a"));
     pool.End("a", ReplicaOutcome::Failed, Millis(0), kNow, "m");
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, pool.InFlight("a"));
@@ -235,7 +244,7 @@
     CPPUNIT_ASSERT(changes.mGone.empty());
   }
 
-  void KnownVersionDoesNotFall() {
+  void KnownVersionDoesNotDecrease() {
     mPool.Update({ReplicaOf("a")}, false);
     mPool.UpdateVersion("a", "m", 7);
     mPool.Update({ReplicaOf("a")}, false);
@@ -251,7 +260,7 @@
     }
   }
 
-  void SlowStreamsShow() {
+  void PaceIsMeasuredPerReplica() {
     ObserveThree(150);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(40, mPool.PaceAt("a", 0, kNow), 1e-9);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(150, mPool.PaceAt("c", 0, kNow), 1e-9);
@@ -261,12 +270,12 @@
     CPPUNIT_ASSERT_EQUAL(1.0, mPool.RelativePace("none", kNow));
   }
 
-  void AnotherTextSlowsABatch() {
+  void AnotherTextRaisesThePace() {
     ObserveThree(150);
     CPPUNIT_ASSERT(mPool.PaceAt("a", 1, kNow) > mPool.PaceAt("a", 0, kNow));
   }
 
-  void UnmeasuredOneCountsAsTypical() {
+  void UnmeasuredReplicaHasTheMedianPace() {
     ObserveThree(150);
     std::vector<Replica> all = mPool.All();
     all.push_back(ReplicaOf("d"));
@@ -275,12 +284,14 @@
     CPPUNIT_ASSERT_EQUAL(1.0, mPool.RelativePace("d", kNow));
   }
 
-  void ZoneDecidesBetweenReplicasThatAreAlike() {
+  void OwnZoneBreaksTies() {
     mPool.Update({ReplicaOf("far", "y"), ReplicaOf("near")}, false);
-    CPPUNIT_ASSERT_EQUAL(std::string("near"), Chosen(mPool, ModelWish(1)));
+    CPPUNIT_ASSERT_EQUAL(std::string("near"),
+                         Chosen(mPool, ModelRequirements(1)));
     mPool.ObservePace("far", 40, kNow);
     mPool.ObservePace("near", 52, kNow);
-    CPPUNIT_ASSERT_EQUAL(std::string("far"), Chosen(mPool, ModelWish(1)));
+    CPPUNIT_ASSERT_EQUAL(std::string("far"),
+                         Chosen(mPool, ModelRequirements(1)));
   }
 
   void RunsAreCountedByModel() {
@@ -297,7 +308,7 @@
     CPPUNIT_ASSERT(mPool.RunsByModel("none").empty());
   }
 
-  void FailingEndsWithItsPause() {
+  void FailingLastsAsLongAsThePause() {
     mPool.Update({ReplicaOf("a")}, false);
     CPPUNIT_ASSERT(!mPool.Failing("a", kNow));
     mPool.End("a", ReplicaOutcome::Failed, Millis(0), kNow);
@@ -306,17 +317,17 @@
     CPPUNIT_ASSERT(!mPool.Failing("none", kNow));
   }
 
-  void SlowReplicaComesLast() {
+  void SlowReplicaIsChosenLast() {
     ObserveThree(150);
     mPool.Start("a");
     mPool.Start("b");
-    CPPUNIT_ASSERT(Chosen(mPool, ModelWish(1)) != "c");
+    CPPUNIT_ASSERT(Chosen(mPool, ModelRequirements(1)) != "c");
     mPool.Start("a");
     mPool.Start("b");
-    CPPUNIT_ASSERT_EQUAL(std::string("c"), Chosen(mPool, ModelWish(1)));
+    CPPUNIT_ASSERT_EQUAL(std::string("c"), Chosen(mPool, ModelRequirements(1)));
   }
 
-  void TellsWhatChanged() {
+  void UpdateReportsChanges() {
     ReplicaChanges changes =
         mPool.Update({ReplicaOf("a"), ReplicaOf("b")}, false);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, changes.mAdded.size());
@@ -334,23 +345,27 @@
     pool.Update({ReplicaOf("far", "other"), ReplicaOf("near")}, false);
     pool.Start("near");
     pool.Start("far");
-    CPPUNIT_ASSERT_EQUAL(std::string("near"), Chosen(pool, ModelWish(5)));
-    // Its own request is among the two.
+    CPPUNIT_ASSERT_EQUAL(std::string("near"),
+                         Chosen(pool, ModelRequirements(5)));
+    // The reported load includes this node's own request.
     pool.ObserveLoad("near", 2, kNow);
-    CPPUNIT_ASSERT_EQUAL(std::string("far"), Chosen(pool, ModelWish(5)));
-    CPPUNIT_ASSERT_EQUAL(std::string("far"), Chosen(pool, Wish()));
+    CPPUNIT_ASSERT_EQUAL(std::string("far"),
+                         Chosen(pool, ModelRequirements(5)));
+    CPPUNIT_ASSERT_EQUAL(std::string("far"), Chosen(pool, Requirements()));
     pool.ObserveLoad("near", 1, kNow);
-    CPPUNIT_ASSERT_EQUAL(std::string("near"), Chosen(pool, ModelWish(5)));
+    CPPUNIT_ASSERT_EQUAL(std::string("near"),
+                         Chosen(pool, ModelRequirements(5)));
   }
 
-  void OldLoadIsForgotten() {
+  void OldLoadReportsExpire() {
     ReplicaPool pool;
     pool.Update({ReplicaOf("far", "other"), ReplicaOf("near")}, false);
     pool.ObserveLoad("near", 9, kNow);
     pool.ObserveLoad("unknown", 9, kNow);
-    CPPUNIT_ASSERT_EQUAL(std::string("far"), Chosen(pool, ModelWish(5)));
-    CPPUNIT_ASSERT_EQUAL(std::string("near"),
-                         Chosen(pool, ModelWish(5), kNow + Millis(1000)));
+    CPPUNIT_ASSERT_EQUAL(std::string("far"),
+                         Chosen(pool, ModelRequirements(5)));
+    CPPUNIT_ASSERT_EQUAL(std::string("near"), Chosen(pool, ModelRequirements(5),
+                                                     kNow + Millis(1000)));
   }
 };
 
--- a/src/librillwall_coordination/request_digest.cpp
+++ b/src/librillwall_coordination/request_digest.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-/// \return the length of a part, and a mark that ends it: without them, parts
-/// that run into one another could make two requests alike
-std::string Frame(std::string_view aPart) {
+/// \return the length of a part and a delimiter. Without them, different parts
+/// with the same concatenation would have the same digest
+std::string LengthPrefix(std::string_view aPart) {
   return std::to_string(aPart.size()) + ':';
 }
 
 }  // namespace
 
 RequestDigest::RequestDigest(const RequestParts& aParts) {
-  const Sha256Bytes whole =
-      Sha256({Frame(aParts.mMethod), aParts.mMethod, Frame(aParts.mHost),
-              aParts.mHost, Frame(aParts.mTarget), aParts.mTarget,
-              Frame(aParts.mAccount), aParts.mAccount, aParts.mBody});
+  const Sha256Bytes whole = Sha256(
+      {LengthPrefix(aParts.mMethod), aParts.mMethod, LengthPrefix(aParts.mHost),
+       aParts.mHost, LengthPrefix(aParts.mTarget), aParts.mTarget,
+       LengthPrefix(aParts.mAccount), aParts.mAccount, aParts.mBody});
   std::copy_n(whole.begin(), kBytes, mBytes.begin());
 }
 
--- a/src/librillwall_coordination/request_digest_test.cpp
+++ b/src/librillwall_coordination/request_digest_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of what makes two requests the same.
+/// Tests of which requests count as equal.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -9,21 +9,21 @@
 
 class RequestDigestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RequestDigestTest);
-  CPPUNIT_TEST(SamePartsAreTheSame);
-  CPPUNIT_TEST(EachPartCounts);
-  CPPUNIT_TEST(PartsDoNotRunTogether);
-  CPPUNIT_TEST(TextComesBack);
-  CPPUNIT_TEST(OtherTextIsRefused);
+  CPPUNIT_TEST(EqualPartsHaveEqualDigests);
+  CPPUNIT_TEST(EachPartChangesTheDigest);
+  CPPUNIT_TEST(PartBoundariesChangeTheDigest);
+  CPPUNIT_TEST(TextRoundTrips);
+  CPPUNIT_TEST(InvalidTextIsRejected);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr RequestParts kParts{"POST", "h", "/p?q=1", "a", "body"};
 
-  void SamePartsAreTheSame() {
+  void EqualPartsHaveEqualDigests() {
     CPPUNIT_ASSERT(RequestDigest(kParts) == RequestDigest(kParts));
     CPPUNIT_ASSERT(RequestDigest(kParts) != RequestDigest());
   }
 
-  void EachPartCounts() {
+  void EachPartChangesTheDigest() {
     std::string_view RequestParts::*const parts[] = {
         &RequestParts::mMethod, &RequestParts::mHost, &RequestParts::mTarget,
         &RequestParts::mAccount, &RequestParts::mBody};
@@ -34,19 +34,19 @@
     }
   }
 
-  void PartsDoNotRunTogether() {
+  void PartBoundariesChangeTheDigest() {
     const RequestParts one{"POST", "h", "/p", "ab", "c"};
     const RequestParts other{"POST", "h", "/p", "a", "bc"};
     CPPUNIT_ASSERT(RequestDigest(one) != RequestDigest(other));
   }
 
-  void TextComesBack() {
+  void TextRoundTrips() {
     const RequestDigest digest(kParts);
     CPPUNIT_ASSERT_EQUAL(size_t{32}, digest.Text().size());
     CPPUNIT_ASSERT(digest == *RequestDigest::Parse(digest.Text()));
   }
 
-  void OtherTextIsRefused() {
+  void InvalidTextIsRejected() {
     CPPUNIT_ASSERT(!RequestDigest::Parse(""));
     CPPUNIT_ASSERT(!RequestDigest::Parse(std::string(31, 'a')));
     CPPUNIT_ASSERT(!RequestDigest::Parse(std::string(32, 'A')));
--- a/src/librillwall_coordination/result_cache.cpp
+++ b/src/librillwall_coordination/result_cache.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// What a result takes beside its text, roughly.
-constexpr size_t kResultBytes = 200;
+/// Approximate size of a result without its text.
+constexpr size_t kResultOverheadBytes = 200;
 
 size_t BytesOf(const RolloutResult& aResult) {
-  return aResult.mOutput.size() + aResult.mScore.size() + kResultBytes;
+  return aResult.mOutput.size() + aResult.mScore.size() + kResultOverheadBytes;
 }
 
 }  // namespace
@@ -19,10 +19,10 @@
                       const std::vector<RolloutResult>& aResults) {
   Step& step = mSteps[aStep];
   step.mTotal = aTotal;
-  step.mUsed = ++mTick;
+  step.mLastUse = ++mUseCounter;
   int64_t position = aFirst;
   for (const RolloutResult& result : aResults) {
-    // A known one is the same, as positions never change.
+    // A known result is the same, as positions never change.
     if (step.mResults.emplace(position, result).second) {
       step.mBytes += BytesOf(result);
       mBytes += BytesOf(result);
@@ -33,16 +33,16 @@
 }
 
 std::vector<RolloutResult> ResultCache::From(const std::string& aStep,
-                                             int64_t aAfter) {
+                                             int64_t aFirst) {
   std::vector<RolloutResult> results;
   const auto found = mSteps.find(aStep);
   if (found == mSteps.end()) {
     return results;
   }
-  found->second.mUsed = ++mTick;
+  found->second.mLastUse = ++mUseCounter;
   const auto& known = found->second.mResults;
-  int64_t next = aAfter;
-  for (auto at = known.find(aAfter); at != known.end() && at->first == next;
+  int64_t next = aFirst;
+  for (auto at = known.find(aFirst); at != known.end() && at->first == next;
        ++at) {
     results.push_back(at->second);
     ++next;
@@ -59,7 +59,7 @@
   while (mBytes > mMaxBytes && mSteps.size() > 1) {
     const auto oldest = std::min_element(
         mSteps.begin(), mSteps.end(), [](const auto& aOne, const auto& aOther) {
-          return aOne.second.mUsed < aOther.second.mUsed;
+          return aOne.second.mLastUse < aOther.second.mLastUse;
         });
     mBytes -= oldest->second.mBytes;
     mSteps.erase(oldest);
--- a/src/librillwall_coordination/result_cache_test.cpp
+++ b/src/librillwall_coordination/result_cache_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the results read from other nodes.
+/// Tests of the cache of results of other nodes.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -25,9 +25,9 @@
 class ResultCacheTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ResultCacheTest);
   CPPUNIT_TEST(KeepsPositionsInOrder);
-  CPPUNIT_TEST(OverlapIsNotAddedAgain);
-  CPPUNIT_TEST(GapIsNotBridged);
-  CPPUNIT_TEST(DropsWhatWasReadLeastRecently);
+  CPPUNIT_TEST(OverlappingResultsAreAddedOnce);
+  CPPUNIT_TEST(ReadStopsAtAGap);
+  CPPUNIT_TEST(LeastRecentlyReadStepIsDropped);
   CPPUNIT_TEST_SUITE_END();
 
   ResultCache mCache{10000};
@@ -41,14 +41,14 @@
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, mCache.Total("other"));
   }
 
-  void OverlapIsNotAddedAgain() {
+  void OverlappingResultsAreAddedOnce() {
     mCache.Add("s", 0, 9, Results(0, 2));
     mCache.Add("s", 1, 9, Results(1, 2));
     mCache.Add("s", 0, 9, Results(0, 1));
     CPPUNIT_ASSERT(Results(0, 3) == mCache.From("s", 0));
   }
 
-  void GapIsNotBridged() {
+  void ReadStopsAtAGap() {
     mCache.Add("s", 0, 9, Results(0, 1));
     mCache.Add("s", 2, 9, Results(2, 1));
     CPPUNIT_ASSERT(Results(0, 1) == mCache.From("s", 0));
@@ -56,7 +56,7 @@
     CPPUNIT_ASSERT(Results(2, 1) == mCache.From("s", 2));
   }
 
-  void DropsWhatWasReadLeastRecently() {
+  void LeastRecentlyReadStepIsDropped() {
     mCache.Add("one", 0, 9, Results(0, 3));
     mCache.Add("two", 0, 9, Results(0, 3));
     mCache.From("one", 0);
--- a/src/librillwall_coordination/rollout_decisions_bench.cpp
+++ b/src/librillwall_coordination/rollout_decisions_bench.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The cost of an owner's decisions about replicas, by the number of replicas
-/// and of running texts.
+/// Cost of an owner's decisions about replicas, by the number of replicas and
+/// of running texts.
 
 #include <benchmark/benchmark.h>
 
@@ -21,7 +21,7 @@
 
 std::string ModelName(int aModel) { return "model-" + std::to_string(aModel); }
 
-/// Replicas of one service that serve all models, a third of them slower.
+/// Replicas of one service that serve all models. A third of them is slower.
 struct Fleet {
   explicit Fleet(size_t aReplicas) {
     std::vector<Replica> replicas;
@@ -44,7 +44,7 @@
     }
   }
 
-  /// Starts texts until a share of all slots is taken.
+  /// Starts aTaken texts on each replica.
   void Fill(size_t aReplicas, int64_t aTaken) {
     for (size_t i = 0; i < aReplicas; ++i) {
       for (int64_t slot = 0; slot < aTaken; ++slot) {
@@ -53,50 +53,50 @@
     }
   }
 
-  ReplicaRequirements Wish(int aModel) const {
-    ReplicaRequirements wish;
-    wish.mService = "letters-llm";
-    wish.mZone = "zone0";
-    wish.mModel = ModelName(aModel);
-    wish.mMinVersion = kVersion - 1;
-    wish.mNeedsFreeSlot = true;
-    return wish;
+  ReplicaRequirements Requirements(int aModel) const {
+    ReplicaRequirements requirements;
+    requirements.mService = "letters-llm";
+    requirements.mZone = "zone0";
+    requirements.mModel = ModelName(aModel);
+    requirements.mMinVersion = kVersion - 1;
+    requirements.mNeedsFreeSlot = true;
+    return requirements;
   }
 
   ReplicaPool mPool;
   Millis mNow{1000000};
 };
 
-/// A text is placed, and ends 1 ms later.
+/// A text is placed and ends 1 ms later.
 void PlaceText(benchmark::State& aState) {
   const auto replicas = static_cast<size_t>(aState.range(0));
   Fleet fleet(replicas);
   fleet.Fill(replicas, kSlots / 2);
-  const ReplicaRequirements wish = fleet.Wish(1);
+  const ReplicaRequirements requirements = fleet.Requirements(1);
   for (auto _ : aState) {
     const std::optional<std::string> chosen =
-        fleet.mPool.Choose(wish, fleet.mNow);
-    fleet.mPool.Start(*chosen, wish.mModel);
+        fleet.mPool.Choose(requirements, fleet.mNow);
+    fleet.mPool.Start(*chosen, requirements.mModel);
     fleet.mNow += Millis(1);
     fleet.mPool.End(*chosen, ReplicaOutcome::Served, Millis(0), fleet.mNow,
-                    wish.mModel);
+                    requirements.mModel);
   }
 }
 BENCHMARK(PlaceText)->Arg(12)->Arg(102)->Arg(165)->Arg(600);
 
-/// All slots are taken, and a step asks for one.
+/// A step asks for a slot while all slots are taken.
 void FindNoSlot(benchmark::State& aState) {
   const auto replicas = static_cast<size_t>(aState.range(0));
   Fleet fleet(replicas);
   fleet.Fill(replicas, kSlots);
-  const ReplicaRequirements wish = fleet.Wish(1);
+  const ReplicaRequirements requirements = fleet.Requirements(1);
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(fleet.mPool.Choose(wish, fleet.mNow));
+    benchmark::DoNotOptimize(fleet.mPool.Choose(requirements, fleet.mNow));
   }
 }
 BENCHMARK(FindNoSlot)->Arg(12)->Arg(102)->Arg(165)->Arg(600);
 
-/// What a look at the weights asks of the pool, for all replicas.
+/// Queries the relative pace of all replicas, as a load plan does.
 void PacesForLoads(benchmark::State& aState) {
   const auto replicas = static_cast<size_t>(aState.range(0));
   Fleet fleet(replicas);
@@ -110,7 +110,7 @@
 }
 BENCHMARK(PacesForLoads)->Arg(12)->Arg(102)->Arg(165)->Arg(600);
 
-/// One plan of loads for all models, with none to order.
+/// Plans loads for all models when there is none to start.
 void PlanOfLoads(benchmark::State& aState) {
   std::vector<LoadCandidate> candidates;
   for (int64_t i = 0; i < aState.range(0); ++i) {
--- a/src/librillwall_coordination/rollout_pattern_test.cpp
+++ b/src/librillwall_coordination/rollout_pattern_test.cpp
@@ -1,11 +1,11 @@
 /// \file
-/// Loads that bind, played in model time on the decisions that answer them: no
-/// network, no clock, fixed figures.
+/// Load tests of load plans and moves in simulated time, without network and
+/// clock.
 ///
-/// The figures are those of a service as its users describe it: twelve replicas
-/// of twelve slots, a third of them slower by 1.3; an event each 40 ms; three
-/// trainers that each name a version in 4 s; a load that takes 1 s, two at
-/// once.
+/// The parameters are those of a typical service: twelve replicas with twelve
+/// slots, of which a third is slower by a factor of 1.3; an event every 40 ms;
+/// three trainers that each name a version every 4 s; loads that take 1 s, two
+/// at a time.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -24,36 +24,36 @@
 constexpr int kReplicas = 12;
 constexpr int64_t kSlots = 12;
 constexpr int64_t kTickMs = 50;
-constexpr int64_t kVersionEveryMs = 4000;
+constexpr int64_t kVersionIntervalMs = 4000;
 constexpr int64_t kLoadMs = 1000;
 constexpr size_t kLoadsAtOnce = 2;
 constexpr int64_t kEventMs = 40;
-constexpr int64_t kLongestEvents = 187;
-constexpr int kTextsOfAStep = 72;
+constexpr int64_t kMaxEvents = 187;
+constexpr int kTextsPerStep = 72;
 constexpr double kSlowFactor = 1.3;
-constexpr int64_t kDayMs = 60000;
+constexpr int64_t kSimulatedMs = 60000;
 
-/// One running text.
+/// A running text.
 struct RunningText {
   size_t mReplica = 0;
   std::string mModel;
   int64_t mEndsAt = 0;
 };
 
-/// What a day of loads and texts came to.
-struct DayOutcome {
+/// Results of a simulation.
+struct SimulationOutcome {
   int mTexts = 0;
-  int mCut = 0;           ///< ended by a load
-  int mSlotsAtWorst = 0;  ///< of a model's usable replicas when it has a step
+  int mAborted = 0;   ///< texts that a load ended
+  int mMinSlots = 0;  ///< fewest usable slots of a model when a step arrived
 };
 
-/// Twelve replicas under three trainers.
-class VersionDay {
+/// Simulates twelve replicas and three trainers.
+class VersionSimulation {
  public:
   using Plan = std::vector<PlannedLoad> (*)(std::vector<LoadCandidate>,
                                             const std::vector<LoadTarget>&,
                                             size_t);
-  explicit VersionDay(Plan aPlan) : mPlan(aPlan) {
+  explicit VersionSimulation(Plan aPlan) : mPlan(aPlan) {
     for (int i = 0; i < kReplicas; ++i) {
       LoadCandidate replica;
       replica.mId = "r" + std::to_string(i);
@@ -67,14 +67,14 @@
     mLoadEnds.resize(kReplicas);
   }
 
-  DayOutcome Play() {
-    mOutcome.mSlotsAtWorst = kReplicas * kSlots;
-    for (mNow = 0; mNow < kDayMs; mNow += kTickMs) {
+  SimulationOutcome Run() {
+    mOutcome.mMinSlots = kReplicas * kSlots;
+    for (mNow = 0; mNow < kSimulatedMs; mNow += kTickMs) {
       EndTexts();
       EndLoads();
       for (size_t i = 0; i < mTargets.size(); ++i) {
-        // The trainers are not in step with one another.
-        if (mNow % kVersionEveryMs ==
+        // The trainers are offset from one another.
+        if (mNow % kVersionIntervalMs ==
             static_cast<int64_t>(i) * 1300 / 50 * 50) {
           Submit(mTargets[i]);
         }
@@ -86,9 +86,9 @@
 
  private:
   int64_t LengthOf() {
-    // Most are short, a twelfth as long as they may be.
+    // Most texts are short, about a twelfth of the maximum.
     const auto draw = static_cast<int64_t>(mRandom() % 100);
-    return draw < 8 ? kLongestEvents : 5 + draw / 4;
+    return draw < 8 ? kMaxEvents : 5 + draw / 4;
   }
   void EndTexts() {
     std::erase_if(mTexts, [&](const RunningText& aText) {
@@ -123,13 +123,13 @@
     for (const LoadCandidate& replica : mReplicas) {
       slots += Serves(replica, aTarget) ? kSlots : 0;
     }
-    mOutcome.mSlotsAtWorst = std::min(mOutcome.mSlotsAtWorst, slots);
-    for (int i = 0; i < kTextsOfAStep; ++i) {
+    mOutcome.mMinSlots = std::min(mOutcome.mMinSlots, slots);
+    for (int i = 0; i < kTextsPerStep; ++i) {
       Start(aTarget, LengthOf());
     }
   }
-  /// Runs a text where its model has the most room, or not at all: what waits
-  /// is short and of no interest here.
+  /// Starts a text at the usable replica with the fewest texts, or drops it if
+  /// there is no free slot, because waiting texts do not matter here.
   void Start(const LoadTarget& aTarget, int64_t aEvents) {
     size_t best = mReplicas.size();
     for (size_t i = 0; i < mReplicas.size(); ++i) {
@@ -149,14 +149,14 @@
     mTexts.push_back({best, aTarget.mModel, mNow + aEvents * kEventMs});
   }
   void StartLoads() {
-    for (const PlannedLoad& pick : mPlan(mReplicas, mTargets, kLoadsAtOnce)) {
-      const auto at = static_cast<size_t>(std::stoi(pick.mReplica.substr(1)));
+    for (const PlannedLoad& load : mPlan(mReplicas, mTargets, kLoadsAtOnce)) {
+      const auto at = static_cast<size_t>(std::stoi(load.mReplica.substr(1)));
       LoadCandidate& replica = mReplicas[at];
-      replica.mLoading = ModelVersion{pick.mModel, pick.mVersion};
+      replica.mLoading = ModelVersion{load.mModel, load.mVersion};
       mLoadEnds[at] = mNow + kLoadMs;
       std::erase_if(mTexts, [&](const RunningText& aText) {
-        const bool cut = aText.mReplica == at && aText.mModel == pick.mModel;
-        mOutcome.mCut += cut ? 1 : 0;
+        const bool cut = aText.mReplica == at && aText.mModel == load.mModel;
+        mOutcome.mAborted += cut ? 1 : 0;
         replica.mRuns[aText.mModel] -= cut ? 1 : 0;
         replica.mInFlight -= cut ? 1 : 0;
         return cut;
@@ -172,49 +172,51 @@
   std::vector<int64_t> mLoadEnds;
   std::vector<RunningText> mTexts;
   int64_t mNow = 0;
-  DayOutcome mOutcome;
+  SimulationOutcome mOutcome;
 };
 
-/// What PlanLoads answers: each replica belongs to one model and takes each of
-/// its versions.
+/// Baseline to compare PlanLoads() with: each replica belongs to one model and
+/// loads each of its versions.
 std::vector<PlannedLoad> LoadEachVersion(
     std::vector<LoadCandidate> aReplicas,
-    const std::vector<LoadTarget>& aTargets, size_t aAtOnce) {
+    const std::vector<LoadTarget>& aTargets, size_t aMaxConcurrent) {
   size_t loading = 0;
   for (const LoadCandidate& replica : aReplicas) {
     loading += replica.mLoading ? 1 : 0;
   }
-  std::vector<PlannedLoad> picks;
+  std::vector<PlannedLoad> planned;
   for (size_t i = 0; i < aReplicas.size(); ++i) {
     const LoadTarget& target = aTargets[i % aTargets.size()];
-    if (loading < aAtOnce && !aReplicas[i].mLoading &&
+    if (loading < aMaxConcurrent && !aReplicas[i].mLoading &&
         aReplicas[i].VersionOf(target.mModel) < target.mVersion) {
-      picks.push_back({aReplicas[i].mId, target.mModel, target.mVersion, true});
+      planned.push_back(
+          {aReplicas[i].mId, target.mModel, target.mVersion, true});
       ++loading;
     }
   }
-  return picks;
+  return planned;
 }
 
-/// A text on a replica, event by event, with the chance to move to another one
-/// at each tenth event. \return {ms it took, moves}
-std::pair<int64_t, int> PlayText(double aHere, double aThere) {
+/// Simulates one text event by event. After every tenth event it may move to
+/// the other replica.
+/// \return the ms it took and the number of moves
+std::pair<int64_t, int> SimulateText(double aSourcePace, double aTargetPace) {
   std::array<ReplicaPace, 2> paces;
-  std::array<double, 2> speeds = {aHere, aThere};
+  std::array<double, 2> speeds = {aSourcePace, aTargetPace};
   size_t at = 0;
   int moves = 0;
   double now = 1000;
-  // The other replica is known from the texts that it runs.
-  paces[1].Observe(aThere, Millis(1000));
-  for (int64_t events = 1; events <= kLongestEvents; ++events) {
-    // Prompts that are read beside it delay each fourth event.
-    const double hiccup = events % 4 == 0 ? 1.5 : 0.9;
-    now += speeds[at] * hiccup;
+  // The pace of the other replica is known from texts that it runs.
+  paces[1].Observe(aTargetPace, Millis(1000));
+  for (int64_t events = 1; events <= kMaxEvents; ++events) {
+    // Prompts that are read in between delay every fourth event.
+    const double delayFactor = events % 4 == 0 ? 1.5 : 0.9;
+    now += speeds[at] * delayFactor;
     const Millis instant(static_cast<int64_t>(now));
-    paces[at].Observe(speeds[at] * hiccup, instant);
+    paces[at].Observe(speeds[at] * delayFactor, instant);
     const TextMove move{events, 0, paces[at].At(instant),
                         paces[1 - at].At(instant)};
-    if (events % 10 == 0 && MovePays(move)) {
+    if (events % 10 == 0 && IsMoveWorthwhile(move)) {
       at = 1 - at;
       now += 50;
       ++moves;
@@ -227,40 +229,42 @@
 
 class RolloutPatternTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RolloutPatternTest);
-  CPPUNIT_TEST(VersionsFasterThanLoads);
-  CPPUNIT_TEST(OneReplicaForEachModelIsNotEnough);
-  CPPUNIT_TEST(AThirdOfTheReplicasSlow);
-  CPPUNIT_TEST(ReplicasAlikeMoveNothing);
+  CPPUNIT_TEST(FewTextsAreAbortedIfVersionsOutpaceLoads);
+  CPPUNIT_TEST(LoadingEachVersionOnItsReplicasAbortsMoreTexts);
+  CPPUNIT_TEST(LongTextLeavesASlowReplica);
+  CPPUNIT_TEST(TextStaysIfReplicasAreNoFaster);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Three loads a second are wanted if each replica takes each version, and
-  /// two are possible. A step finds the slots of two replicas at the least, and
-  /// hardly a text is cut.
-  void VersionsFasterThanLoads() {
-    const DayOutcome day = VersionDay(&PlanLoads).Play();
-    CPPUNIT_ASSERT(day.mTexts > 1200);
-    CPPUNIT_ASSERT(day.mCut * 50 < day.mTexts);
-    CPPUNIT_ASSERT(day.mSlotsAtWorst >= 2 * kSlots);
+  /// If each replica loaded each version, three loads a second would be needed,
+  /// but only two are possible. Each step must still find the slots of at least
+  /// two replicas, and few texts may be aborted.
+  void FewTextsAreAbortedIfVersionsOutpaceLoads() {
+    const SimulationOutcome outcome = VersionSimulation(&PlanLoads).Run();
+    CPPUNIT_ASSERT(outcome.mTexts > 1200);
+    CPPUNIT_ASSERT(outcome.mAborted * 50 < outcome.mTexts);
+    CPPUNIT_ASSERT(outcome.mMinSlots >= 2 * kSlots);
   }
 
-  /// The same load without the rotation: the pattern is hard.
-  void OneReplicaForEachModelIsNotEnough() {
-    const DayOutcome day = VersionDay(&LoadEachVersion).Play();
-    CPPUNIT_ASSERT(day.mCut * 50 >= day.mTexts);
+  /// The same load without rotation aborts more texts, which shows that the
+  /// load is demanding.
+  void LoadingEachVersionOnItsReplicasAbortsMoreTexts() {
+    const SimulationOutcome outcome = VersionSimulation(&LoadEachVersion).Run();
+    CPPUNIT_ASSERT(outcome.mAborted * 50 >= outcome.mTexts);
   }
 
-  /// The longest text begins on a slow replica. It ends nearly as if it had
-  /// begun on a fast one, and moves once.
-  void AThirdOfTheReplicasSlow() {
-    const auto [took, moves] = PlayText(kEventMs * kSlowFactor, kEventMs);
-    const auto fast = kLongestEvents * kEventMs;
+  /// The longest text starts on a slow replica. It moves once, and takes little
+  /// more time than on a fast replica.
+  void LongTextLeavesASlowReplica() {
+    const auto [took, moves] = SimulateText(kEventMs * kSlowFactor, kEventMs);
+    const auto fast = kMaxEvents * kEventMs;
     CPPUNIT_ASSERT_EQUAL(1, moves);
     CPPUNIT_ASSERT(took < fast * 115 / 100);
   }
 
-  void ReplicasAlikeMoveNothing() {
-    CPPUNIT_ASSERT_EQUAL(0, PlayText(kEventMs, kEventMs).second);
-    CPPUNIT_ASSERT_EQUAL(0, PlayText(kEventMs, kEventMs * kSlowFactor).second);
+  void TextStaysIfReplicasAreNoFaster() {
+    CPPUNIT_ASSERT_EQUAL(0, SimulateText(kEventMs, kEventMs).second);
+    CPPUNIT_ASSERT_EQUAL(0,
+                         SimulateText(kEventMs, kEventMs * kSlowFactor).second);
   }
 };
 
--- a/src/librillwall_coordination/route_table.cpp
+++ b/src/librillwall_coordination/route_table.cpp
@@ -26,7 +26,7 @@
       mServices(std::move(aServices)),
       mLimits(aLimits),
       mAccounts(std::move(aAccounts)) {
-  // The longest prefix first, so that the first match is the one.
+  // The longest prefix comes first, so that the first match is the best one.
   std::stable_sort(mRoutes.begin(), mRoutes.end(),
                    [](const Route& aOne, const Route& aOther) {
                      if (aOne.mHost != aOther.mHost) {
--- a/src/librillwall_coordination/route_table_test.cpp
+++ b/src/librillwall_coordination/route_table_test.cpp
@@ -24,7 +24,7 @@
   CPPUNIT_TEST_SUITE(RouteTableTest);
   CPPUNIT_TEST(LongestPrefixOfTheHostWins);
   CPPUNIT_TEST(OtherHostsDoNotMatch);
-  CPPUNIT_TEST(WeightsShareOutKeys);
+  CPPUNIT_TEST(KeysFollowWeights);
   CPPUNIT_TEST(NoWeightGivesNoService);
   CPPUNIT_TEST(FindsServices);
   CPPUNIT_TEST_SUITE_END();
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT(table.Find("b", "/x") == nullptr);
   }
 
-  void WeightsShareOutKeys() {
+  void KeysFollowWeights() {
     Route route = RouteOf("a", "/", "one");
     route.mTargets = {{"one", 90}, {"none", 0}, {"two", 10}};
     int two = 0;
--- a/src/librillwall_coordination/text_move.cpp
+++ b/src/librillwall_coordination/text_move.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// What a move takes from the text itself, in ms: a connection, the prompt and
-/// the text read again beside other prompts, and the event that was under way.
-constexpr double kMoveMs = 80;
-/// A move costs others too: a connection, a slot that a fresh text can't take,
-/// and events that wait while the prompt is read. So it must gain this in ms.
-constexpr double kLeastGainMs = 200;
-/// Replicas of one speed differ by their batch, which the move itself changes:
-/// a full one is slower than an empty one by a tenth.
-constexpr double kLeastRatio = 1.15;
+/// Cost of a move for the text itself, in ms: a new connection, reading the
+/// prompt and the text so far beside other prompts, and the event in progress.
+constexpr double kMoveCostMs = 80;
+/// Required gain in ms. A move also costs others: a connection, a slot that a
+/// new text could use, and events that wait while the prompt is read.
+constexpr double kMinGainMs = 200;
+/// Replicas of the same speed differ by their batch sizes, which a move
+/// changes: a full replica is slower than an empty one by a tenth.
+constexpr double kMinPaceRatio = 1.15;
 
 }  // namespace
 
@@ -30,8 +30,9 @@
 }
 
 int64_t ExpectedRemainingEvents(int64_t aEvents, int64_t aExpected) {
-  // Hints are right at the median and far too low for the longest texts. Of
-  // lengths with such a tail, one that has come to n events has about n to go.
+  // Hints are right at the median and much too low for the longest texts. With
+  // such a long-tailed distribution, a text with n events has about n still to
+  // come.
   return std::max(aExpected - aEvents, aEvents);
 }
 
@@ -39,14 +40,14 @@
   if (aMove.mSourcePace == 0 || aMove.mTargetPace == 0) {
     return 0;
   }
-  const auto rest = static_cast<double>(
+  const auto remaining = static_cast<double>(
       ExpectedRemainingEvents(aMove.mEvents, aMove.mExpected));
-  return rest * (aMove.mSourcePace - aMove.mTargetPace) - kMoveMs;
+  return remaining * (aMove.mSourcePace - aMove.mTargetPace) - kMoveCostMs;
 }
 
-bool MovePays(const TextMove& aMove) {
-  return aMove.mSourcePace >= aMove.mTargetPace * kLeastRatio &&
-         MoveGain(aMove) >= kLeastGainMs;
+bool IsMoveWorthwhile(const TextMove& aMove) {
+  return aMove.mSourcePace >= aMove.mTargetPace * kMinPaceRatio &&
+         MoveGain(aMove) >= kMinGainMs;
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/text_move_test.cpp
+++ b/src/librillwall_coordination/text_move_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of when a text goes on at another replica.
+/// Tests of when a text moves to another replica.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,15 +11,15 @@
   CPPUNIT_TEST_SUITE(TextMoveTest);
   CPPUNIT_TEST(LongTextLeavesSlowHardware);
   CPPUNIT_TEST(ShortTextStays);
-  CPPUNIT_TEST(HintBringsAMoveForward);
-  CPPUNIT_TEST(OverdueTextIsExpectedToGoOn);
-  CPPUNIT_TEST(BatchesOfOneSpeedAreAlike);
-  CPPUNIT_TEST(AMoveIsNotMadeBack);
+  CPPUNIT_TEST(HintLetsATextMoveEarlier);
+  CPPUNIT_TEST(TextBeyondItsHintIsExpectedToDouble);
+  CPPUNIT_TEST(BatchSizeAloneCausesNoMove);
+  CPPUNIT_TEST(MoveIsNotReversed);
   CPPUNIT_TEST(UnknownPaceMovesNothing);
-  CPPUNIT_TEST(HintsAreLearntFromWholeTexts);
+  CPPUNIT_TEST(HintsAreLearnedFromFinishedTexts);
   CPPUNIT_TEST_SUITE_END();
 
-  void HintsAreLearntFromWholeTexts() {
+  void HintsAreLearnedFromFinishedTexts() {
     LengthHints hints;
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, hints.Events(500));
     hints.Learn(1000, 20);
@@ -31,39 +31,39 @@
   }
 
   void LongTextLeavesSlowHardware() {
-    CPPUNIT_ASSERT(MovePays({60, 0, 52, 40}));
-    CPPUNIT_ASSERT(MovePays({10, 0, 120, 40}));
+    CPPUNIT_ASSERT(IsMoveWorthwhile({60, 0, 52, 40}));
+    CPPUNIT_ASSERT(IsMoveWorthwhile({10, 0, 120, 40}));
   }
 
   void ShortTextStays() {
-    CPPUNIT_ASSERT(!MovePays({8, 0, 52, 40}));
-    CPPUNIT_ASSERT(!MovePays({2, 0, 120, 40}));
+    CPPUNIT_ASSERT(!IsMoveWorthwhile({8, 0, 52, 40}));
+    CPPUNIT_ASSERT(!IsMoveWorthwhile({2, 0, 120, 40}));
   }
 
-  void HintBringsAMoveForward() {
-    CPPUNIT_ASSERT(MovePays({2, 80, 52, 40}));
-    CPPUNIT_ASSERT(!MovePays({70, 80, 44, 40}));
+  void HintLetsATextMoveEarlier() {
+    CPPUNIT_ASSERT(IsMoveWorthwhile({2, 80, 52, 40}));
+    CPPUNIT_ASSERT(!IsMoveWorthwhile({70, 80, 44, 40}));
   }
 
-  void OverdueTextIsExpectedToGoOn() {
+  void TextBeyondItsHintIsExpectedToDouble() {
     CPPUNIT_ASSERT_EQUAL(int64_t{70}, ExpectedRemainingEvents(10, 80));
     CPPUNIT_ASSERT_EQUAL(int64_t{90}, ExpectedRemainingEvents(90, 80));
   }
 
-  void BatchesOfOneSpeedAreAlike() {
-    CPPUNIT_ASSERT(!MovePays({150, 0, 43, 39}));
+  void BatchSizeAloneCausesNoMove() {
+    CPPUNIT_ASSERT(!IsMoveWorthwhile({150, 0, 43, 39}));
   }
 
-  void AMoveIsNotMadeBack() {
+  void MoveIsNotReversed() {
     const TextMove there{60, 0, 52, 40};
     const TextMove back{60, 0, 40, 52};
-    CPPUNIT_ASSERT(MovePays(there));
-    CPPUNIT_ASSERT(!MovePays(back));
+    CPPUNIT_ASSERT(IsMoveWorthwhile(there));
+    CPPUNIT_ASSERT(!IsMoveWorthwhile(back));
   }
 
   void UnknownPaceMovesNothing() {
-    CPPUNIT_ASSERT(!MovePays({100, 0, 0, 40}));
-    CPPUNIT_ASSERT(!MovePays({100, 0, 80, 0}));
+    CPPUNIT_ASSERT(!IsMoveWorthwhile({100, 0, 0, 40}));
+    CPPUNIT_ASSERT(!IsMoveWorthwhile({100, 0, 80, 0}));
   }
 };
 
--- a/src/librillwall_coordination/usage_meter.cpp
+++ b/src/librillwall_coordination/usage_meter.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Windows that a host keeps after they have ended. A report is due within two
-/// windows or so; a lead that takes over late still hears of them.
-constexpr int64_t kKeptWindows = 8;
-/// A host that has been silent for so long is gone: a cut that lasts longer
-/// than a report can wait for changes nothing.
-constexpr Millis kGone{30000};
+/// Windows that a host retains after their end. A report is due within about
+/// two windows; a new lead that takes over late can still collect them.
+constexpr int64_t kRetainedWindows = 8;
+/// Silence after which a host counts as gone. A disconnection that lasts longer
+/// than a report can wait has no further effect.
+constexpr Millis kHostTimeout{30000};
 
 }  // namespace
 
@@ -28,13 +28,13 @@
     return;
   }
   Forget(aWallMs);
-  Tally& tally = mTallies[WindowAt(aWallMs)];
+  WindowTally& tally = mTallies[WindowAt(aWallMs)];
   ++tally.mCounts[aAccount];
   ++tally.mChanges;
 }
 
 void UsageMeter::Forget(int64_t aWallMs) {
-  const int64_t oldest = WindowAt(aWallMs) - kKeptWindows;
+  const int64_t oldest = WindowAt(aWallMs) - kRetainedWindows;
   mTallies.erase(mTallies.begin(), mTallies.lower_bound(oldest));
 }
 
@@ -42,28 +42,28 @@
   if (aRun != mRun) {
     mRun = aRun;
     for (auto& [window, tally] : mTallies) {
-      tally.mTold = 0;
+      tally.mAcknowledged = 0;
     }
   }
-  WindowCounts untold;
+  WindowCounts unreported;
   for (auto& [window, tally] : mTallies) {
-    tally.mOffered = tally.mChanges;
-    if (tally.mTold != tally.mChanges) {
-      untold[window] = tally.mCounts;
+    tally.mLastReported = tally.mChanges;
+    if (tally.mAcknowledged != tally.mChanges) {
+      unreported[window] = tally.mCounts;
     }
   }
-  return untold;
+  return unreported;
 }
 
 void UsageMeter::Told() {
   for (auto& [window, tally] : mTallies) {
-    tally.mTold = tally.mOffered;
+    tally.mAcknowledged = tally.mLastReported;
   }
 }
 
 bool UsageMeter::AllReported() const {
   return std::all_of(mTallies.begin(), mTallies.end(), [](const auto& aEntry) {
-    return aEntry.second.mTold == aEntry.second.mChanges;
+    return aEntry.second.mAcknowledged == aEntry.second.mChanges;
   });
 }
 
@@ -74,13 +74,14 @@
 }
 
 void UsageTotals::RecordContact(const std::string& aAddress, Millis aNow) {
-  mHeard[aAddress] = aNow;
+  mLastContacts[aAddress] = aNow;
 }
 
 bool UsageTotals::AllHeardSince(Millis aSince, Millis aNow) const {
-  return std::all_of(mHeard.begin(), mHeard.end(), [&](const auto& aEntry) {
-    return aEntry.second >= aSince || aNow - aEntry.second > kGone;
-  });
+  return std::all_of(
+      mLastContacts.begin(), mLastContacts.end(), [&](const auto& aEntry) {
+        return aEntry.second >= aSince || aNow - aEntry.second > kHostTimeout;
+      });
 }
 
 AccountCounts UsageTotals::Sum(int64_t aWindow) const {
@@ -109,8 +110,9 @@
   }
   std::erase_if(mCounts,
                 [](const auto& aEntry) { return aEntry.second.empty(); });
-  std::erase_if(
-      mHeard, [&](const auto& aEntry) { return aNow - aEntry.second > kGone; });
+  std::erase_if(mLastContacts, [&](const auto& aEntry) {
+    return aNow - aEntry.second > kHostTimeout;
+  });
 }
 
 }  // namespace rillwall
--- a/src/librillwall_coordination/usage_meter_test.cpp
+++ b/src/librillwall_coordination/usage_meter_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Tests of counting usage by window, and of what reaches the lead when hosts
-/// and leads come and go.
+/// Tests of usage counts by window, and of what reaches the lead when hosts and
+/// leads restart or change.
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr Millis kWindow{5000};
-/// Window 100 begins there.
+/// Start of window 100.
 constexpr int64_t kBegin = 500000;
 
 UsageMeter Meter() {
@@ -29,16 +29,16 @@
   CPPUNIT_TEST_SUITE(UsageMeterTest);
   CPPUNIT_TEST(CountsByAccountAndWindow);
   CPPUNIT_TEST(CountsNothingWithoutWindows);
-  CPPUNIT_TEST(RequestsWithoutAnAccountStandOutside);
-  CPPUNIT_TEST(WhatWasTakenIsNotToldAgain);
-  CPPUNIT_TEST(WhatGotNoAnswerIsToldAgain);
-  CPPUNIT_TEST(CountedWhileAskingIsToldNext);
-  CPPUNIT_TEST(NewLeadIsToldEverythingKept);
+  CPPUNIT_TEST(RequestsWithoutAnAccountAreNotCounted);
+  CPPUNIT_TEST(AcknowledgedCountsAreNotReportedAgain);
+  CPPUNIT_TEST(UnacknowledgedCountsAreReportedAgain);
+  CPPUNIT_TEST(CountsDuringAReportAreReportedNext);
+  CPPUNIT_TEST(NewLeadGetsAllRetainedCounts);
   CPPUNIT_TEST(OldWindowsAreForgotten);
-  CPPUNIT_TEST(TellingTwiceChangesNothing);
-  CPPUNIT_TEST(RestartedHostCountsBesideItsFormerSelf);
-  CPPUNIT_TEST(SilentHostIsWaitedForUntilItIsGone);
-  CPPUNIT_TEST(EachRequestIsReportedOnceWhoeverLeads);
+  CPPUNIT_TEST(RepeatedReportsAreIdempotent);
+  CPPUNIT_TEST(RestartedHostIsCountedAsANewProcess);
+  CPPUNIT_TEST(SilentHostIsAwaitedUntilItTimesOut);
+  CPPUNIT_TEST(EachRequestIsReportedOnceAcrossLeads);
   CPPUNIT_TEST_SUITE_END();
 
   void CountsByAccountAndWindow() {
@@ -59,13 +59,13 @@
     CPPUNIT_ASSERT(meter.AllReported());
   }
 
-  void RequestsWithoutAnAccountStandOutside() {
+  void RequestsWithoutAnAccountAreNotCounted() {
     UsageMeter meter = Meter();
     meter.Count("", kBegin);
     CPPUNIT_ASSERT(meter.UnreportedCounts("lead").empty());
   }
 
-  void WhatWasTakenIsNotToldAgain() {
+  void AcknowledgedCountsAreNotReportedAgain() {
     UsageMeter meter = Meter();
     meter.Count("a", kBegin);
     CPPUNIT_ASSERT(!meter.AllReported());
@@ -78,14 +78,14 @@
     CPPUNIT_ASSERT(whole == meter.UnreportedCounts("lead"));
   }
 
-  void WhatGotNoAnswerIsToldAgain() {
+  void UnacknowledgedCountsAreReportedAgain() {
     UsageMeter meter = Meter();
     meter.Count("a", kBegin);
     const WindowCounts first = meter.UnreportedCounts("lead");
     CPPUNIT_ASSERT(first == meter.UnreportedCounts("lead"));
   }
 
-  void CountedWhileAskingIsToldNext() {
+  void CountsDuringAReportAreReportedNext() {
     UsageMeter meter = Meter();
     meter.Count("a", kBegin);
     meter.UnreportedCounts("lead");
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT(whole == meter.UnreportedCounts("lead"));
   }
 
-  void NewLeadIsToldEverythingKept() {
+  void NewLeadGetsAllRetainedCounts() {
     UsageMeter meter = Meter();
     meter.Count("a", kBegin);
     const WindowCounts all = meter.UnreportedCounts("lead");
@@ -111,58 +111,58 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, meter.UnreportedCounts("lead").size());
   }
 
-  void TellingTwiceChangesNothing() {
-    UsageTotals book;
+  void RepeatedReportsAreIdempotent() {
+    UsageTotals totals;
     const WindowCounts counts{{100, {{"a", 2}}}};
-    book.Told("h1", counts);
-    book.Told("h1", counts);
-    book.Told("h2", {{100, {{"a", 1}, {"b", 4}}}});
+    totals.Told("h1", counts);
+    totals.Told("h1", counts);
+    totals.Told("h2", {{100, {{"a", 1}, {"b", 4}}}});
     const AccountCounts expected{{"a", 3}, {"b", 4}};
-    CPPUNIT_ASSERT(expected == book.Sum(100));
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, book.ReporterCount(100));
-    CPPUNIT_ASSERT(book.Sum(99).empty());
+    CPPUNIT_ASSERT(expected == totals.Sum(100));
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, totals.ReporterCount(100));
+    CPPUNIT_ASSERT(totals.Sum(99).empty());
   }
 
-  void RestartedHostCountsBesideItsFormerSelf() {
-    UsageTotals book;
-    book.Told("h1 first", {{100, {{"a", 2}}}});
-    book.Told("h1 second", {{100, {{"a", 1}}}});
-    CPPUNIT_ASSERT_EQUAL(int64_t{3}, book.Sum(100).at("a"));
+  void RestartedHostIsCountedAsANewProcess() {
+    UsageTotals totals;
+    totals.Told("h1 first", {{100, {{"a", 2}}}});
+    totals.Told("h1 second", {{100, {{"a", 1}}}});
+    CPPUNIT_ASSERT_EQUAL(int64_t{3}, totals.Sum(100).at("a"));
   }
 
-  /// A host that is cut off for some seconds while a window ends.
-  void SilentHostIsWaitedForUntilItIsGone() {
-    UsageTotals book;
-    book.RecordContact("h1", Millis(1000));
-    book.RecordContact("h2", Millis(3000));
-    CPPUNIT_ASSERT(!book.AllHeardSince(Millis(2000), Millis(3000)));
-    book.RecordContact("h1", Millis(3500));
-    CPPUNIT_ASSERT(book.AllHeardSince(Millis(2000), Millis(3500)));
-    CPPUNIT_ASSERT(book.AllHeardSince(Millis(60000), Millis(90000)));
-    book.Forget(100, Millis(90000));
-    CPPUNIT_ASSERT(book.AllHeardSince(Millis(95000), Millis(95000)));
+  /// A host is disconnected for some seconds while a window ends.
+  void SilentHostIsAwaitedUntilItTimesOut() {
+    UsageTotals totals;
+    totals.RecordContact("h1", Millis(1000));
+    totals.RecordContact("h2", Millis(3000));
+    CPPUNIT_ASSERT(!totals.AllHeardSince(Millis(2000), Millis(3000)));
+    totals.RecordContact("h1", Millis(3500));
+    CPPUNIT_ASSERT(totals.AllHeardSince(Millis(2000), Millis(3500)));
+    CPPUNIT_ASSERT(totals.AllHeardSince(Millis(60000), Millis(90000)));
+    totals.Forget(100, Millis(90000));
+    CPPUNIT_ASSERT(totals.AllHeardSince(Millis(95000), Millis(95000)));
   }
 
-  /// Any order of requests, questions, lost answers, restarts and changes of
-  /// the lead: once all hosts have told, the lead knows each request of the
-  /// processes that live, once, and none that was not made.
-  void EachRequestIsReportedOnceWhoeverLeads() {
+  /// Random sequences of requests, questions, lost answers, restarts and
+  /// changes of the lead. After a last report of all hosts, the lead must have
+  /// counted each request of the live processes exactly once, and no others.
+  void EachRequestIsReportedOnceAcrossLeads() {
     constexpr size_t kHosts = 3;
     const bool held = rc::check(
         "each request once", [&](const std::vector<uint8_t>& aEvents) {
           std::vector<UsageMeter> hosts(kHosts, Meter());
           std::vector<int> starts(kHosts, 0);
           std::vector<int64_t> made(kHosts, 0);
-          int64_t ended = 0;  // of processes that have ended, as told
+          int64_t ended = 0;  // reported by processes that have ended
           std::vector<int64_t> told(kHosts, 0);
-          UsageTotals book;
+          UsageTotals totals;
           int lead = 0;
           const auto run = [&](size_t aHost) {
             return std::to_string(aHost) + "/" + std::to_string(starts[aHost]);
           };
           const auto ask = [&](size_t aHost, bool aAnswered) {
-            book.Told(run(aHost),
-                      hosts[aHost].UnreportedCounts(std::to_string(lead)));
+            totals.Told(run(aHost),
+                        hosts[aHost].UnreportedCounts(std::to_string(lead)));
             told[aHost] = made[aHost];
             if (aAnswered) {
               hosts[aHost].Told();
@@ -185,9 +185,9 @@
                 hosts[host] = Meter();
                 ++starts[host];
                 break;
-              case 4:  // another host leads, which has heard nothing yet
+              case 4:  // another host becomes the lead and has no counts yet
                 ++lead;
-                book = UsageTotals();
+                totals = UsageTotals();
                 ended = 0;
                 told.assign(kHosts, 0);
                 break;
@@ -198,7 +198,7 @@
             ask(i, true);
             all += made[i];
           }
-          const AccountCounts sum = book.Sum(100);
+          const AccountCounts sum = totals.Sum(100);
           const auto found = sum.find("a");
           RC_ASSERT(all == (found == sum.end() ? 0 : found->second));
         });
--- a/src/librillwall_coordination/view_plan.cpp
+++ b/src/librillwall_coordination/view_plan.cpp
@@ -9,46 +9,48 @@
 namespace {
 
 constexpr int64_t kPercent = 100;
-/// Parts of the bound. In a calm state a list is as old as a poll of the lead
-/// and the time between two questions together, 55 %. A node that has missed
-/// one goes to the next source at once; from 62 % on it turns to the store,
-/// which leaves time for a slow call.
+/// Percentages of the bound. In a calm state, a list is at most as old as the
+/// poll interval of the lead plus the interval between questions, 55 %. A node
+/// whose question failed asks the next source at once. From 62 % on it reads
+/// the store, which leaves time for a slow call.
 constexpr int64_t kPollPercent = 25;
 constexpr int64_t kAskPercent = 30;
 constexpr int64_t kFreshPercent = 62;
-/// Longest wait for one answer: two of them fit between the two lines above.
-constexpr int64_t kLimitPercent = 15;
+/// Longest timeout of a question: two of them fit between those two limits.
+constexpr int64_t kTimeoutPercent = 15;
 /// A live node on a quarter of a core answers well within this.
-constexpr Millis kLeastLimit{300};
-/// A late answer is worth waiting for up to this many times the usual time.
-constexpr double kLimitFactor = 4;
-constexpr double kTookWeight = 0.25;
+constexpr Millis kMinTimeout{300};
+/// A late answer is awaited for up to this multiple of the usual time.
+constexpr double kTimeoutFactor = 4;
+constexpr double kAnswerTimeWeight = 0.25;
 
-/// Pauses after misses, against the time between two questions. A lead that
-/// stays silent is asked by each node every fourth time only. Helpers are taken
+/// Pauses after misses, relative to the interval between questions. A lead that
+/// stays silent is asked only every fourth time by each node. Helpers are asked
 /// in turn, so that each of them gets a share of the questions.
-constexpr int64_t kFirstPauseShare = 4;
-constexpr int64_t kLongestLeadTimes = 4;
-constexpr int64_t kLongestHelperTimes = 1;
-/// Before the store is read once more after a call that failed.
+constexpr int64_t kFirstPauseDivisor = 4;
+constexpr int64_t kMaxLeadPausePeriods = 4;
+constexpr int64_t kMaxHelperPausePeriods = 1;
+/// Pause before the store is read again after a failed call.
 constexpr Millis kStorePause{500};
-constexpr Millis kLongestStorePause{4000};
-/// Nodes that nobody tells anything read the store within this, spread evenly:
-/// long enough for a lead to be found and to answer, which spares most of them
-/// the call; short, as their clients wait.
-constexpr Millis kLonely{2000};
-/// When all nodes start for the first time, the lead is claimed within this.
-/// Who looks earlier has to look again, which is one call of each node.
-constexpr Millis kFirstClaim{800};
-/// Sources that answer, and have not heard from the store themselves, mean that
-/// it is away, for them at least. A node then leaves it alone for so long, and
-/// asks other helpers: else each would call it, while no call is answered.
-constexpr Millis kAwayPause{8000};
-/// After a change of the lead its first questions come within this.
+constexpr Millis kMaxStorePause{4000};
+/// A node that gets no list from another node reads the store within this time,
+/// at a random moment. It is long enough for a lead to be found and to answer,
+/// which saves most nodes the call, and short because clients wait.
+constexpr Millis kInitialStoreSpread{2000};
+/// When all nodes start for the first time, the lead is claimed within this
+/// time. A node that looks for the lead earlier has to look again, which costs
+/// one more call per node.
+constexpr Millis kInitialClaimTime{800};
+/// Sources that answer but cannot reach the store themselves show that it is
+/// unreachable, at least for them. A node then does not call it for this long
+/// and asks other helpers; otherwise every node would call the store while no
+/// call succeeds.
+constexpr Millis kStoreAwayPause{8000};
+/// Questions to a new lead are spread over this time.
 constexpr Millis kNewLeadSpread{300};
-/// How long a node that is to look at its sources sleeps. One look costs far
+/// Interval at which a node checks which sources are due. A check costs far
 /// less than a question.
-constexpr Millis kLook{50};
+constexpr Millis kCheckInterval{50};
 
 }  // namespace
 
@@ -59,23 +61,25 @@
   return mBound * kPollPercent / kPercent;
 }
 
-Millis ViewPlan::AskEvery() const { return mBound * kAskPercent / kPercent; }
+Millis ViewPlan::AskInterval() const { return mBound * kAskPercent / kPercent; }
 
 Millis ViewPlan::Limit() const {
-  const Millis most = std::max(kLeastLimit, mBound * kLimitPercent / kPercent);
-  const Millis usual(static_cast<int64_t>(mTookMs * kLimitFactor));
-  return std::clamp(usual, kLeastLimit, most);
+  const Millis longest =
+      std::max(kMinTimeout, mBound * kTimeoutPercent / kPercent);
+  const Millis usual(static_cast<int64_t>(mAnswerMs * kTimeoutFactor));
+  return std::clamp(usual, kMinTimeout, longest);
 }
 
-Millis ViewPlan::Pause() const { return kLook; }
+Millis ViewPlan::Pause() const { return kCheckInterval; }
 
 void ViewPlan::Begin(bool aExpectLead, Millis aNow) {
   if (aExpectLead) {
     mListedAt = aNow;
-    Of(ViewSource::LookUp).mFrom =
-        aNow + kFirstClaim + mJitter.FullJitter(kFirstClaim);
+    Of(ViewSource::LookUp).mNextAskAt =
+        aNow + kInitialClaimTime + mJitter.FullJitter(kInitialClaimTime);
   }
-  Of(ViewSource::Store).mFrom = aNow + mJitter.FullJitter(kLonely);
+  Of(ViewSource::Store).mNextAskAt =
+      aNow + mJitter.FullJitter(kInitialStoreSpread);
 }
 
 void ViewPlan::LeadChanged(Millis aNow) {
@@ -83,8 +87,8 @@
 }
 
 void ViewPlan::AskNow(Millis aNow) {
-  Of(ViewSource::Lead).mFrom = aNow;
-  Of(ViewSource::Helper).mFrom = aNow;
+  Of(ViewSource::Lead).mNextAskAt = aNow;
+  Of(ViewSource::Helper).mNextAskAt = aNow;
 }
 
 bool ViewPlan::Fresh(Millis aNow) const {
@@ -92,30 +96,29 @@
 }
 
 bool ViewPlan::Due(ViewSource aSource, Millis aNow) const {
-  const Standing& standing = Of(aSource);
-  // One that has not missed is asked early rather than the next one in its
-  // place.
-  return aNow >= standing.mFrom || (standing.mMisses == 0 && !Fresh(aNow));
+  const SourceState& state = Of(aSource);
+  // A source that has not missed is asked early rather than the next source.
+  return aNow >= state.mNextAskAt || (state.mMisses == 0 && !Fresh(aNow));
 }
 
 std::optional<ViewSource> ViewPlan::Next(const ViewContacts& aContacts,
                                          Millis aNow) const {
-  const bool readsFirst = aContacts.mCandidate && !aContacts.mLead;
-  if (readsFirst) {
-    const bool due = aNow >= Of(ViewSource::Store).mFrom;
+  const bool readsStore = aContacts.mCandidate && !aContacts.mLead;
+  if (readsStore) {
+    const bool due = aNow >= Of(ViewSource::Store).mNextAskAt;
     return due ? std::optional(ViewSource::Store) : std::nullopt;
   }
   if (aContacts.mLead && Due(ViewSource::Lead, aNow)) {
     return ViewSource::Lead;
   }
-  const bool doubtful = !aContacts.mLead || Misses(ViewSource::Lead) > 0;
-  if (aContacts.mHelpers && doubtful && Due(ViewSource::Helper, aNow)) {
+  const bool leadDoubtful = !aContacts.mLead || Misses(ViewSource::Lead) > 0;
+  if (aContacts.mHelpers && leadDoubtful && Due(ViewSource::Helper, aNow)) {
     return ViewSource::Helper;
   }
-  if (!aContacts.mLead && aNow >= Of(ViewSource::LookUp).mFrom) {
+  if (!aContacts.mLead && aNow >= Of(ViewSource::LookUp).mNextAskAt) {
     return ViewSource::LookUp;
   }
-  if (!Fresh(aNow) && aNow >= Of(ViewSource::Store).mFrom) {
+  if (!Fresh(aNow) && aNow >= Of(ViewSource::Store).mNextAskAt) {
     return ViewSource::Store;
   }
   return std::nullopt;
@@ -123,9 +126,10 @@
 
 void ViewPlan::Told(ViewSource aSource, Millis aAsked, Millis aAge,
                     Millis aNow) {
-  const auto took = static_cast<double>((aNow - aAsked).Count());
-  mTookMs =
-      mTookMs == 0 ? took : mTookMs * (1 - kTookWeight) + took * kTookWeight;
+  const auto answerMs = static_cast<double>((aNow - aAsked).Count());
+  mAnswerMs = mAnswerMs == 0 ? answerMs
+                             : mAnswerMs * (1 - kAnswerTimeWeight) +
+                                   answerMs * kAnswerTimeWeight;
   const Millis listed = aAsked - aAge;
   mListedAt = mListedAt ? std::max(*mListedAt, listed) : listed;
   if (!Fresh(aNow)) {
@@ -133,21 +137,22 @@
     return;
   }
   const Millis period =
-      aSource == ViewSource::Store ? PollInterval() : AskEvery();
-  const Millis again =
+      aSource == ViewSource::Store ? PollInterval() : AskInterval();
+  const Millis nextAskAt =
       aAsked + period * 9 / 10 + mJitter.EqualJitter(period / 5);
-  Of(aSource) = {0, again};
-  // One telling is enough for a period; the store is left to others.
-  Standing& helper = Of(ViewSource::Helper);
-  helper.mFrom = std::max(helper.mFrom, again);
-  Standing& lookUp = Of(ViewSource::LookUp);
-  lookUp.mFrom = std::max(lookUp.mFrom, again);
+  Of(aSource) = {0, nextAskAt};
+  // One answer is enough for a period; the store is left to other nodes.
+  SourceState& helper = Of(ViewSource::Helper);
+  helper.mNextAskAt = std::max(helper.mNextAskAt, nextAskAt);
+  SourceState& lookUp = Of(ViewSource::LookUp);
+  lookUp.mNextAskAt = std::max(lookUp.mNextAskAt, nextAskAt);
 }
 
 void ViewPlan::RecordStoreUnreachable(ViewSource aSource, Millis aNow) {
   RecordMiss(aSource, aNow);
-  Standing& store = Of(ViewSource::Store);
-  store.mFrom = std::max(store.mFrom, aNow + mJitter.EqualJitter(kAwayPause));
+  SourceState& store = Of(ViewSource::Store);
+  store.mNextAskAt =
+      std::max(store.mNextAskAt, aNow + mJitter.EqualJitter(kStoreAwayPause));
 }
 
 void ViewPlan::LeadFound(Millis aNow) {
@@ -155,20 +160,21 @@
 }
 
 void ViewPlan::RecordMiss(ViewSource aSource, Millis aNow) {
-  Standing& standing = Of(aSource);
-  ++standing.mMisses;
-  const bool ofStore =
+  SourceState& state = Of(aSource);
+  ++state.mMisses;
+  const bool isStore =
       aSource == ViewSource::Store || aSource == ViewSource::LookUp;
-  const Millis first = ofStore ? kStorePause : AskEvery() / kFirstPauseShare;
-  const int64_t times =
-      aSource == ViewSource::Lead ? kLongestLeadTimes : kLongestHelperTimes;
-  const Millis most = ofStore ? kLongestStorePause : AskEvery() * times;
-  const Millis pause = BackoffDelay(standing.mMisses, first, most);
-  standing.mFrom = aNow + mJitter.EqualJitter(pause);
-  if (aSource == ViewSource::Lead && standing.mMisses == 1) {
-    // The helper is asked at once, whatever it told before.
-    Standing& helper = Of(ViewSource::Helper);
-    helper.mFrom = std::min(helper.mFrom, aNow);
+  const Millis first =
+      isStore ? kStorePause : AskInterval() / kFirstPauseDivisor;
+  const int64_t periods = aSource == ViewSource::Lead ? kMaxLeadPausePeriods
+                                                      : kMaxHelperPausePeriods;
+  const Millis longest = isStore ? kMaxStorePause : AskInterval() * periods;
+  const Millis pause = BackoffDelay(state.mMisses, first, longest);
+  state.mNextAskAt = aNow + mJitter.EqualJitter(pause);
+  if (aSource == ViewSource::Lead && state.mMisses == 1) {
+    // Ask the helper at once, regardless of its earlier answers.
+    SourceState& helper = Of(ViewSource::Helper);
+    helper.mNextAskAt = std::min(helper.mNextAskAt, aNow);
   }
 }
 
--- a/src/librillwall_coordination/view_plan_test.cpp
+++ b/src/librillwall_coordination/view_plan_test.cpp
@@ -1,12 +1,12 @@
 /// \file
-/// Tests of when nodes ask whom for the view, and of what all of them together
-/// ask of a lead that is late.
+/// Tests of when nodes ask which source for the view, and of the load that all
+/// nodes together cause on a slow lead.
 ///
-/// The pattern: 250 entry hosts, a lead that is one of 24 candidates, and the
-/// loss of all processes at once. A lead on a third of a core answers some two
-/// thousand questions a second when it does nothing else, and few of them while
-/// it takes steps over; a question that its sender has given up costs it as
-/// much as any other.
+/// The simulated deployment has 250 entry hosts and a lead that is one of 24
+/// candidates, and all processes are lost at once. A lead on a third of a core
+/// answers some two thousand questions a second if it does nothing else, and
+/// only few while it takes over steps. A question that its sender has given up
+/// costs it as much as any other.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -24,7 +24,7 @@
 constexpr Millis kStart{100000};
 constexpr Millis kTick{10};
 
-/// A deployment whose nodes ask one another, without a network.
+/// Simulates a deployment whose nodes ask one another, without a network.
 class Deployment {
  public:
   explicit Deployment(int aHosts) {
@@ -40,13 +40,13 @@
       mCredit = std::min(mCredit + mLeadPerTick, mLeadPerTick + 1);
       ServeLead();
       for (Host& host : mHosts) {
-        GiveUp(host);
+        TimeOut(host);
         Act(host);
       }
     }
   }
 
-  /// Every second host's process starts anew and knows nobody.
+  /// Restarts the process of every second host, which then knows no other node.
   void RestartHalf() {
     for (size_t i = 0; i < mHosts.size(); i += 2) {
       mHosts[i] = Host(1000 + i);
@@ -65,16 +65,16 @@
     }
     return oldest;
   }
-  /// Everybody knows who leads, and was told a moment ago.
-  void MakeCalm() {
+  /// Runs until all hosts know the lead and have a recent list.
+  void ReachCalmState() {
     mLeadPerTick = 20;
     Run(Millis(5000));
     ResetCounts();
   }
   void ResetCounts() { mToLead = mToHelpers = mStoreCalls = mUnanswered = 0; }
 
-  double mLeadPerTick = 20;    ///< questions that the lead answers in a tick
-  bool mLeadReachable = true;  ///< connections to it are made
+  double mLeadPerTick = 20;    ///< questions that the lead answers per tick
+  bool mLeadReachable = true;  ///< connections to the lead succeed
   bool mStoreAnswers = true;
   int64_t mToLead = 0;
   int64_t mToHelpers = 0;
@@ -90,7 +90,8 @@
     uint64_t mSeed;
     bool mKnowsLead = false;
     size_t mHelper = 0;
-    std::optional<Millis> mAsked;  ///< a question to the lead is under way
+    /// Time of the unanswered question to the lead.
+    std::optional<Millis> mAsked;
     Millis mListedAt = kStart;
   };
   struct Question {
@@ -106,7 +107,7 @@
       Host& host = mHosts[question.mHost];
       if (host.mAsked == question.mAsked) {
         host.mAsked.reset();
-        // It reads the store every second.
+        // The lead reads the store every second.
         Tell(host, ViewSource::Lead, question.mAsked, mStoreAge);
       }
     }
@@ -119,7 +120,7 @@
     aHost.mListedAt = std::max(aHost.mListedAt, aAsked - aAge);
   }
 
-  void GiveUp(Host& aHost) {
+  void TimeOut(Host& aHost) {
     if (aHost.mAsked && mNow - *aHost.mAsked >= aHost.mPlan.Limit()) {
       aHost.mAsked.reset();
       aHost.mPlan.RecordMiss(ViewSource::Lead, mNow);
@@ -159,7 +160,8 @@
     std::optional<Millis>& readAt = mHelpers[chosen];
     const bool old = !readAt || mNow - *readAt >= Millis(1000);
     if (old && mStoreAnswers) {
-      // It was not reading the store yet: this one still hears what it knew.
+      // The helper was not reading the store yet, so this host still gets its
+      // old list.
       ++mStoreCalls;
       const Millis before = readAt.value_or(mNow - kBound);
       readAt = mNow;
@@ -183,7 +185,8 @@
 
   Millis mNow = kStart;
   std::vector<Host> mHosts;
-  std::vector<std::optional<Millis>> mHelpers;  ///< when each read the store
+  /// Time of each helper's last read of the store.
+  std::vector<std::optional<Millis>> mHelpers;
   std::deque<Question> mQueue;
   double mCredit = 0;
   Millis mStoreAge;
@@ -193,33 +196,33 @@
 
 class ViewPlanTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ViewPlanTest);
-  CPPUNIT_TEST(CalmNodesAskOnceAPeriod);
-  CPPUNIT_TEST(SilentSourceIsLeftAlone);
-  CPPUNIT_TEST(FirstStartLooksForTheLeadOnce);
-  CPPUNIT_TEST(UsualTimeSetsTheLimit);
-  CPPUNIT_TEST(OldListSendsOneOn);
-  CPPUNIT_TEST(CandidateReadsWhileNobodyLeads);
-  CPPUNIT_TEST(NewLeadIsNotAskedByAllAtOnce);
-  CPPUNIT_TEST(AfterTheLossOfAllEverybodyIsTold);
-  CPPUNIT_TEST(SaturatedLeadIsNotAskedHarder);
-  CPPUNIT_TEST(LeadThatStaysSilentBreaksNoBound);
-  CPPUNIT_TEST(FrozenLeadThatComesBackIsFollowed);
-  CPPUNIT_TEST(HalfOfTheHostsRestartAtOnce);
-  CPPUNIT_TEST(StoreThatIsAwayIsLeftAlone);
+  CPPUNIT_TEST(CalmNodesAskOncePerPeriod);
+  CPPUNIT_TEST(SilentSourceIsAskedLessOften);
+  CPPUNIT_TEST(FirstStartWaitsForTheLeadToBeClaimed);
+  CPPUNIT_TEST(UsualAnswerTimeSetsTheTimeout);
+  CPPUNIT_TEST(OldListLeadsToTheNextSource);
+  CPPUNIT_TEST(CandidateReadsTheStoreWhileNobodyLeads);
+  CPPUNIT_TEST(QuestionsToANewLeadAreSpread);
+  CPPUNIT_TEST(AllNodesGetAViewAfterTheLossOfAllProcesses);
+  CPPUNIT_TEST(SaturatedLeadIsAskedLessOften);
+  CPPUNIT_TEST(SilentLeadDoesNotBreakTheBound);
+  CPPUNIT_TEST(RecoveredLeadIsAskedAgain);
+  CPPUNIT_TEST(RestartOfHalfTheHostsReadsNoLists);
+  CPPUNIT_TEST(UnreachableStoreIsReadRarely);
   CPPUNIT_TEST_SUITE_END();
 
-  void CalmNodesAskOnceAPeriod() {
+  void CalmNodesAskOncePerPeriod() {
     Deployment calm(250);
-    calm.MakeCalm();
+    calm.ReachCalmState();
     calm.Run(Millis(12000));
-    // Ten periods of 1,200 ms, with a tenth to and fro.
+    // Ten periods of 1,200 ms, with a jitter of a tenth.
     CPPUNIT_ASSERT(calm.mToLead > 2200 && calm.mToLead < 2800);
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, calm.mToHelpers);
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, calm.mStoreCalls);
     CPPUNIT_ASSERT(calm.OldestList() < kBound);
   }
 
-  void SilentSourceIsLeftAlone() {
+  void SilentSourceIsAskedLessOften() {
     ViewPlan plan(kBound, 1);
     const ViewContacts contacts{true, false, false};
     plan.Told(ViewSource::Lead, kStart, Millis(0), kStart);
@@ -233,27 +236,28 @@
       }
       longest = std::max(longest, now - missed);
     }
-    // Four periods at the most, and at least half of that once it is reached.
+    // At most four periods, and at least half of that once the maximum is
+    // reached.
     CPPUNIT_ASSERT(longest >= Millis(2400) && longest <= Millis(4810));
     plan.Told(ViewSource::Lead, now, Millis(0), now);
     CPPUNIT_ASSERT_EQUAL(0, plan.Misses(ViewSource::Lead));
   }
 
-  // While the lead is being claimed nobody looks for it; a node that comes back
-  // looks at once, as its clients wait.
-  void FirstStartLooksForTheLeadOnce() {
+  // A node does not look for the lead while it is being claimed. A restarted
+  // node looks at once, because its clients wait.
+  void FirstStartWaitsForTheLeadToBeClaimed() {
     const ViewContacts nobody;
     ViewPlan first(kBound, 1);
     first.Begin(true, kStart);
     CPPUNIT_ASSERT(!first.Next(nobody, kStart + Millis(700)));
     CPPUNIT_ASSERT(first.Next(nobody, kStart + Millis(1600)) ==
                    ViewSource::LookUp);
-    ViewPlan again(kBound, 1);
-    again.Begin(false, kStart);
-    CPPUNIT_ASSERT(again.Next(nobody, kStart) == ViewSource::LookUp);
+    ViewPlan restarted(kBound, 1);
+    restarted.Begin(false, kStart);
+    CPPUNIT_ASSERT(restarted.Next(nobody, kStart) == ViewSource::LookUp);
   }
 
-  void UsualTimeSetsTheLimit() {
+  void UsualAnswerTimeSetsTheTimeout() {
     ViewPlan plan(kBound, 1);
     CPPUNIT_ASSERT(plan.Limit() == Millis(300));
     for (int i = 0; i < 40; ++i) {
@@ -263,11 +267,11 @@
     for (int i = 0; i < 40; ++i) {
       plan.Told(ViewSource::Lead, kStart, Millis(0), kStart + Millis(500));
     }
-    // Two answers have to fit into the bound beside all else.
+    // Two answers must fit into the bound along with everything else.
     CPPUNIT_ASSERT(plan.Limit() == Millis(600));
   }
 
-  void OldListSendsOneOn() {
+  void OldListLeadsToTheNextSource() {
     ViewPlan plan(kBound, 1);
     const ViewContacts contacts{true, true, false};
     plan.Told(ViewSource::Lead, kStart, Millis(3000), kStart);
@@ -278,7 +282,7 @@
     CPPUNIT_ASSERT(!plan.Next(contacts, kStart));
   }
 
-  void CandidateReadsWhileNobodyLeads() {
+  void CandidateReadsTheStoreWhileNobodyLeads() {
     ViewPlan plan(kBound, 1);
     const ViewContacts alone{false, true, true};
     CPPUNIT_ASSERT(plan.Next(alone, kStart) == ViewSource::Store);
@@ -290,7 +294,7 @@
     CPPUNIT_ASSERT(plan.Next(led, kStart) == ViewSource::Lead);
   }
 
-  void NewLeadIsNotAskedByAllAtOnce() {
+  void QuestionsToANewLeadAreSpread() {
     const ViewContacts contacts{true, true, false};
     int64_t atOnce = 0;
     for (uint64_t seed = 1; seed <= 100; ++seed) {
@@ -305,14 +309,14 @@
     CPPUNIT_ASSERT(atOnce > 15 && atOnce < 60);
   }
 
-  // The lead takes steps over and answers 250 questions a second: each node
-  // has a view within three seconds, most of them without reading the store.
-  void AfterTheLossOfAllEverybodyIsTold() {
+  // The lead takes over steps and answers 250 questions a second. Each node has
+  // a view within three seconds, most of them without reading the store.
+  void AllNodesGetAViewAfterTheLossOfAllProcesses() {
     Deployment restarted(250);
     restarted.mLeadPerTick = 2.5;
     restarted.Run(Millis(3000));
     CPPUNIT_ASSERT_EQUAL(int64_t{250}, restarted.Fresh());
-    // One look-up each, and 12 helpers.
+    // One lookup for each host, and reads of 12 helpers.
     CPPUNIT_ASSERT(restarted.mStoreCalls < 350);
     restarted.mLeadPerTick = 20;
     restarted.Run(Millis(5000));
@@ -322,12 +326,12 @@
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, restarted.mStoreCalls);
   }
 
-  // With 40 answers a second for 10 s, in place of the 210 that are asked for
-  // in a calm state. Asked at once again, as each question goes unanswered, it
-  // would get some 500 a second.
-  void SaturatedLeadIsNotAskedHarder() {
+  // The lead answers 40 questions a second for 10 s, while 210 are asked in a
+  // calm state. If unanswered questions were repeated at once, it would get
+  // some 500 a second.
+  void SaturatedLeadIsAskedLessOften() {
     Deployment late(250);
-    late.MakeCalm();
+    late.ReachCalmState();
     late.mLeadPerTick = 0.4;
     late.Run(Millis(3000));
     late.ResetCounts();
@@ -342,24 +346,24 @@
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, late.mUnanswered);
   }
 
-  void LeadThatStaysSilentBreaksNoBound() {
+  void SilentLeadDoesNotBreakTheBound() {
     Deployment silent(300);
-    silent.MakeCalm();
+    silent.ReachCalmState();
     silent.mLeadPerTick = 0;
     for (int i = 0; i < 300; ++i) {
       silent.Run(Millis(100));
       CPPUNIT_ASSERT(silent.OldestList() < kBound);
     }
-    // Helpers read it once a second; the nodes themselves do not.
+    // Helpers read the store once a second; other nodes do not read it.
     CPPUNIT_ASSERT(silent.mStoreCalls < 30 * 14);
     silent.ResetCounts();
     silent.Run(Millis(30000));
     CPPUNIT_ASSERT(silent.mToLead < 30 * 300 / 3);
   }
 
-  void FrozenLeadThatComesBackIsFollowed() {
+  void RecoveredLeadIsAskedAgain() {
     Deployment frozen(300);
-    frozen.MakeCalm();
+    frozen.ReachCalmState();
     frozen.mLeadPerTick = 0;
     frozen.Run(Millis(4000));
     CPPUNIT_ASSERT(frozen.OldestList() < kBound);
@@ -372,22 +376,22 @@
     CPPUNIT_ASSERT_EQUAL(int64_t{300}, frozen.Fresh());
   }
 
-  void HalfOfTheHostsRestartAtOnce() {
+  void RestartOfHalfTheHostsReadsNoLists() {
     Deployment half(300);
-    half.MakeCalm();
+    half.ReachCalmState();
     half.RestartHalf();
     half.Run(Millis(1000));
     CPPUNIT_ASSERT_EQUAL(int64_t{300}, half.Fresh());
-    // One look-up of who leads for each of them, and no list.
+    // One lookup of the lead for each restarted host, and no read of the list.
     CPPUNIT_ASSERT(half.mStoreCalls <= 150);
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, half.mUnanswered);
   }
 
-  // An outage of 4.5 s. Every node used to read the store itself after two
-  // seconds of it, and again every 1.5 s.
-  void StoreThatIsAwayIsLeftAlone() {
+  // An outage of 4.5 s. Guards against every node reading the store itself
+  // after two seconds of an outage, and again every 1.5 s.
+  void UnreachableStoreIsReadRarely() {
     Deployment outage(250);
-    outage.MakeCalm();
+    outage.ReachCalmState();
     outage.mStoreAnswers = false;
     outage.Run(Millis(4500));
     CPPUNIT_ASSERT(outage.mStoreCalls < 50);
