--- a/src/include/rillwall/request_digest.h
+++ b/src/include/rillwall/request_digest.h
@@ -33,8 +33,8 @@
   std::string_view mBody;
 };
 
+/// Digest of a request; all zeros if default-constructed.
 class RequestDigest {
-  /// Digest of a request; default-constructed, it is all zeros.
  public:
   RequestDigest() = default;
   /// Computes the digest.
--- a/src/include/rillwall/usage_meter.h
+++ b/src/include/rillwall/usage_meter.h
@@ -83,7 +83,8 @@
   /// Records that a host has reported everything that it counted until now.
   /// \param aAddress address of the host
   void RecordContact(const std::string& aAddress, Millis aNow);
-  /// \return whether each host that was heard recently was heard since aSince
+  /// \return whether every host that made contact recently has made contact
+  /// since aSince
   bool AllHeardSince(Millis aSince, Millis aNow) const;
   /// \return the sum of all hosts for a window
   AccountCounts Sum(int64_t aWindow) const;
--- a/src/librillwall_coordination/call_attempts.cpp
+++ b/src/librillwall_coordination/call_attempts.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr int kServerErrorClass = 5;  // status / 100
-/// Limit on all tries, including cheap ones that did not run the request.
+/// Limit on all tries. Tries that did not run the request are cheap, but must
+/// be bounded too.
 constexpr int kMaxTries = 8;
 /// Retry-After of a refused call: about the run time of a plain request, after
 /// which a slot has become free.
--- a/src/librillwall_coordination/limiter.cpp
+++ b/src/librillwall_coordination/limiter.cpp
@@ -5,13 +5,21 @@
 namespace rillwall {
 
 namespace {
+/// Consecutive reports with waiting calls beside free slots that lower the
+/// limit.
 constexpr int kShortfallReports = 2;
+/// Applied to the limit when the engine refuses a call.
 constexpr double kRefusedFactor = 0.9;
+/// Weights of a new time to first token in the usual time, by direction.
 constexpr double kUsualRiseWeight = 0.01;
 constexpr double kUsualFallWeight = 0.1;
+/// A call is overdue after this multiple of the usual time, but not before
+/// kMinOverdueMs.
 constexpr double kOverdueFactor = 3;
 constexpr double kMinOverdueMs = 500;
+/// Utilization of the limit from which it rises.
 constexpr double kBusyShare = 0.8;
+/// Step by which the limit rises, relative and at least.
 constexpr double kRaiseShare = 0.05;
 constexpr double kMinRaise = 0.25;
 
--- a/src/librillwall_coordination/limiter_test.cpp
+++ b/src/librillwall_coordination/limiter_test.cpp
@@ -64,13 +64,14 @@
   /// Simulates nodes that take as many slots as allowed at one engine, whose
   /// reports arrive a round late. Calls that end are replaced by others.
   /// \return load of the engine after each round
-  std::vector<int64_t> Rounds(size_t aNodes, int64_t aTarget, double aBack,
-                              int aRounds) {
+  std::vector<int64_t> SimulateRounds(size_t aNodes, int64_t aTarget,
+                                      double aRebalance, int aRounds) {
     std::mt19937_64 random(3);
     std::uniform_real_distribution<double> draw(0, 1);
     mOwn.resize(aNodes, 0);
     std::vector<SlotShare> shares(
-        aNodes, SlotShare({.mGain = 0.5, .mEmpty = 0.1, .mBack = aBack}, 0));
+        aNodes,
+        SlotShare({.mGain = 0.5, .mEmpty = 0.1, .mBack = aRebalance}, 0));
     std::vector<int64_t> loads = {
         std::accumulate(mOwn.begin(), mOwn.end(), int64_t{0})};
     for (int round = 0; round < aRounds; ++round) {
@@ -92,7 +93,7 @@
   void NodesTogetherFillTheEngineWithoutOverload() {
     for (const size_t nodes : {5u, 10u, 20u}) {
       mOwn.clear();
-      const std::vector<int64_t> loads = Rounds(nodes, 20, 0, 300);
+      const std::vector<int64_t> loads = SimulateRounds(nodes, 20, 0, 300);
       double sum = 0;
       for (size_t round = 0; round < loads.size(); ++round) {
         // If each node took all slots that are reported free, it would reach 20
@@ -108,14 +109,14 @@
   void OneNodeFillsAnEngine() {
     for (const int64_t slots : {1, 4, 64}) {
       mOwn.clear();
-      CPPUNIT_ASSERT_EQUAL(slots, Rounds(1, slots, 0, 30).back());
+      CPPUNIT_ASSERT_EQUAL(slots, SimulateRounds(1, slots, 0, 30).back());
     }
   }
 
   void SharesEvenOut() {
-    const auto spread = [this](double aBack) {
+    const auto spread = [this](double aRebalance) {
       mOwn = {190, 30, 30, 30, 30, 30, 30, 30};
-      Rounds(8, 400, aBack, 100);
+      SimulateRounds(8, 400, aRebalance, 100);
       const auto ends = std::minmax_element(mOwn.begin(), mOwn.end());
       return *ends.second - *ends.first;
     };
--- a/src/librillwall_coordination/load_plan.cpp
+++ b/src/librillwall_coordination/load_plan.cpp
@@ -151,11 +151,9 @@
   }
   // The replica still serves its weights. Enough usable replicas must remain
   // for the next version, and its running texts must fit into the free slots of
-  // the others.
+  // the others. One load serves as many steps as the allowed lag plus one.
   const int64_t others = aStatus.mFreeSlots - FreeSlots(replica);
-  const auto steps =
-      // Steps that one load serves.
-      static_cast<size_t>(target.mAllowedLag + 1);
+  const auto steps = static_cast<size_t>(target.mAllowedLag + 1);
   return aStatus.mNewest * steps < aStatus.mUsable &&
          static_cast<double>(aStatus.mNewest) < aStatus.mReplicaShare &&
          others >= replica.RunsOf(target.mModel);
--- a/src/librillwall_coordination/view_plan.cpp
+++ b/src/librillwall_coordination/view_plan.cpp
@@ -16,17 +16,18 @@
 constexpr int64_t kPollPercent = 25;
 constexpr int64_t kAskPercent = 30;
 constexpr int64_t kFreshPercent = 62;
-/// Longest timeout of a question: two of them fit between those two limits.
+/// Longest timeout of a question: two of them fit into the bound along with the
+/// intervals above.
 constexpr int64_t kTimeoutPercent = 15;
-/// A live node on a quarter of a core answers well within this.
+/// Shortest timeout: a live node on a quarter of a core answers well within it.
 constexpr Millis kMinTimeout{300};
 /// A late answer is awaited for up to this multiple of the usual time.
 constexpr double kTimeoutFactor = 4;
 constexpr double kAnswerTimeWeight = 0.25;
 
-/// Pauses after misses, relative to the interval between questions. A lead that
-/// stays silent is asked only every fourth time by each node. Helpers are asked
-/// in turn, so that each of them gets a share of the questions.
+/// Pauses after misses, relative to the interval between questions. Each node
+/// asks a silent lead only in every fourth interval. Helpers are asked in turn,
+/// so that each of them gets a share of the questions.
 constexpr int64_t kFirstPauseDivisor = 4;
 constexpr int64_t kMaxLeadPausePeriods = 4;
 constexpr int64_t kMaxHelperPausePeriods = 1;
