--- a/src/librillwall_coordination/limiter_test.cpp
+++ b/src/librillwall_coordination/limiter_test.cpp
@@ -16,17 +16,17 @@
 
 class LimiterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LimiterTest);
-  CPPUNIT_TEST(FallsToWhatTheEngineHolds);
+  CPPUNIT_TEST(FallsToTheRunningStreams);
   CPPUNIT_TEST(NeverBelowOne);
-  CPPUNIT_TEST(OverdueFirstTokens);
-  CPPUNIT_TEST(NodesTogetherFillAndDoNotSwamp);
+  CPPUNIT_TEST(LateFirstTokensAreOverdue);
+  CPPUNIT_TEST(NodesTogetherFillTheEngineWithoutOverload);
   CPPUNIT_TEST(OneNodeFillsAnEngine);
-  CPPUNIT_TEST(PartsEvenOut);
-  CPPUNIT_TEST(SlowEngineIsWeighedDownAndTriedAgain);
+  CPPUNIT_TEST(SharesEvenOut);
+  CPPUNIT_TEST(SlowEngineGetsALowerWeightUntilItsSpeedExpires);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void FallsToWhatTheEngineHolds() {
+  void FallsToTheRunningStreams() {
     Limiter limiter{LimiterSignals()};
     limiter.Report({.mRunning = 7, .mWaiting = 3, .mSlots = 16});
     CPPUNIT_ASSERT_EQUAL(16.0, limiter.Limit());
@@ -49,7 +49,7 @@
     CPPUNIT_ASSERT_EQUAL(1.0, limiter.Limit());
   }
 
-  void OverdueFirstTokens() {
+  void LateFirstTokensAreOverdue() {
     Limiter limiter{LimiterSignals()};
     const CallClass kind = CallClass::Interactive;
     CPPUNIT_ASSERT(!limiter.Overdue(kind, Millis(60000)));
@@ -61,18 +61,18 @@
     CPPUNIT_ASSERT(!limiter.Overdue(CallClass::Training, Millis(1000)));
   }
 
-  /// Nodes that want all they can get, before one engine whose reports come a
-  /// round late. Calls that end are followed by others.
-  /// \return the engine's load over the rounds
-  std::vector<int64_t> Rounds(size_t aNodes, int64_t aTarget, double aBack,
-                              int aRounds) {
+  /// Simulates nodes that take as many slots as allowed at one engine, whose
+  /// reports arrive a round late. Calls that end are replaced by others.
+  /// \return load of the engine after each round
+  std::vector<int64_t> SimulateRounds(size_t aNodes, int64_t aTarget,
+                                      double aRebalance, int aRounds) {
     std::mt19937_64 random(3);
     std::uniform_real_distribution<double> draw(0, 1);
     mOwn.resize(aNodes, 0);
-    std::vector<SlotShare> shares(
-        aNodes,
-        SlotShare({.mGain = 0.5, .mEmptyFraction = 0.1, .mRebalance = aBack},
-                  0));
+    std::vector<SlotShare> shares(aNodes, SlotShare({.mGain = 0.5,
+                                                     .mEmptyFraction = 0.1,
+                                                     .mRebalance = aRebalance},
+                                                    0));
     std::vector<int64_t> loads = {
         std::accumulate(mOwn.begin(), mOwn.end(), int64_t{0})};
     for (int round = 0; round < aRounds; ++round) {
@@ -91,13 +91,14 @@
     return loads;
   }
 
-  void NodesTogetherFillAndDoNotSwamp() {
+  void NodesTogetherFillTheEngineWithoutOverload() {
     for (const size_t nodes : {5u, 10u, 20u}) {
       mOwn.clear();
-      const std::vector<int64_t> loads = Rounds(nodes, 20, 0, 300);
+      const std::vector<int64_t> loads = SimulateRounds(nodes, 20, 0, 300);
       double sum = 0;
       for (size_t round = 0; round < loads.size(); ++round) {
-        // Taking all that is reported free would reach 20 calls a node.
+        // If each node took all slots that are reported free, it would reach 20
+        // calls per node.
         CPPUNIT_ASSERT(loads[round] <= 40);
         sum += round >= 50 ? static_cast<double>(loads[round]) : 0;
       }
@@ -109,14 +110,14 @@
   void OneNodeFillsAnEngine() {
     for (const int64_t slots : {1, 4, 64}) {
       mOwn.clear();
-      CPPUNIT_ASSERT_EQUAL(slots, Rounds(1, slots, 0, 30).back());
+      CPPUNIT_ASSERT_EQUAL(slots, SimulateRounds(1, slots, 0, 30).back());
     }
   }
 
-  void PartsEvenOut() {
-    const auto spread = [this](double aBack) {
+  void SharesEvenOut() {
+    const auto spread = [this](double aRebalance) {
       mOwn = {190, 30, 30, 30, 30, 30, 30, 30};
-      Rounds(8, 400, aBack, 100);
+      SimulateRounds(8, 400, aRebalance, 100);
       const auto ends = std::minmax_element(mOwn.begin(), mOwn.end());
       return *ends.second - *ends.first;
     };
@@ -124,7 +125,7 @@
     CPPUNIT_ASSERT(spread(0) > 100);
   }
 
-  void SlowEngineIsWeighedDownAndTriedAgain() {
+  void SlowEngineGetsALowerWeightUntilItsSpeedExpires() {
     StreamSpeed speed;
     for (int64_t now = 100; now <= 3000; now += 100) {
       speed.Add(1, Millis(100), Millis(now));
