--- a/testsuite/platform/soak.py
+++ b/testsuite/platform/soak.py
@@ -1,25 +1,25 @@
 #!/usr/bin/env python3
-"""A randomized fault soak of the platform path, and its calm run as a case.
+"""Randomized fault soak of rillwall on the users' platform; without faults, a plain test case.
 
-Runs `rillwall serve` processes against stand-ins of the platform on loopback,
-injects faults from outside (signals, proxies, the store's and replicas' own)
-by a seeded schedule, and checks from what clients and replicas see:
-  whole      an answer of 2xx is the replica's own, for this request
-  truth      what was answered 429 or 503 did not run, and does not run later
+Runs `rillwall serve` processes against stand-ins for the platform on loopback,
+injects faults from outside (signals, proxies, faults of the store and of the
+replicas) by a seeded schedule, and checks what clients and replicas see:
+  whole      a 2xx answer is the complete answer of a replica to this request
+  truth      a request that was answered 429 or 503 did not run and does not run later
   once       a non-idempotent request runs at most once
-  positions  a result that was read stays at its position, at every node
-  text       a completed text is whole and in order, its score the scorer's
-  labels     each version of a text made one of its events, none is too old
-  end        after an end nothing new of the step runs
-  kept       what was accepted can be read at every node when all is over
-  crashes    a request that ends each replica which begins to run it is sent to few more, by hosts
-             that nothing has happened to, once three have ended under it
-  recovers   after all faults, requests and a new step are served
+  positions  a result that was read stays at its position, on every node
+  text       a completed text is complete and in order, and its score is the scorer's
+  labels     each version that a text names generated one of its events, and none is too old
+  end        nothing more of a step runs after its end
+  kept       every accepted step can be read on every node after all faults
+  crashes    once three replicas have crashed under a request, hosts without a recent fault send it
+             to few more replicas
+  recovers   requests and a new step are served after all faults
   processes  no process ends by itself
 
 usage: soak.py --binary PATH [--seed N] [--seconds S] [--entries N] [--leads N] [--services N]
                [--faults none|all|NAME,...] [--keep DIR]
-Ends with "N passed, N failed"; the logs of a failed run stay in its folder.
+Ends with "N passed, N failed". The logs of a failed run stay in its folder.
 """
 
 import argparse
@@ -38,28 +38,29 @@
 from standins import CRASHING, Engine, Service, Store, events_of, text_of
 from web import Proxy, call
 
-ADDRESS_WAIT_S = 120  # a run of 15 s takes some 25
+ADDRESS_WAIT_S = 120  # a soak of 15 s takes some 25 s in total
 ZONES = ["z1", "z2", "z3"]
 MODEL = "model1"
 HOST = "soak.example"
 GRACE_S = 8
-CONTACT_S = 3  # hosts that nothing has happened to for so long must act on what others know
-CRASHES, MORE_RUNS = 3, 3  # replicas that may end under a request, and runs by such hosts later
-CALM_FAULTS = {"crash", "replica", "replace", "replica_path", "config", "reload"}  # hosts and store are well
+CONTACT_S = 3  # a host without a fault for this long must know what the other hosts know
+CRASHES, MORE_RUNS = 3, 3  # replicas that may crash under a request, and further ones by such hosts
+CALM_FAULTS = {"crash", "replica", "replace", "replica_path", "config", "reload"}  # hosts and store stay intact
 CHECKS = ["whole", "truth", "once", "positions", "text", "labels", "end", "kept", "crashes", "recovers", "processes"]
 
 
 class Node:
-    """One process with an address of its own on loopback and a proxy to the store."""
+    """One rillwall process with its own loopback address and its own proxy to the store."""
 
     def __init__(self, soak, number, entry):
         self.soak, self.entry, self.zone = soak, entry, ZONES[number % len(ZONES)]
         self.name = f"{'entry' if entry else 'lead'}-{number}"
-        self.ip, self.process, self.wanted, self.paused = f"127.1.{soak.args.seed % 250}.{10 + number}", None, False, False
+        self.ip = f"127.1.{soak.args.seed % 250}.{10 + number}"
+        self.process, self.should_run, self.paused = None, False, False
         self.log = soak.folder / f"{self.name}.log"
         self.disk = soak.folder / f"{self.name}.disk"
         self.disk.mkdir(exist_ok=True)
-        self.restarting = asyncio.Lock()  # faults overlap; one at a time starts the process anew
+        self.restarting = asyncio.Lock()  # faults overlap; only one at a time may restart the process
 
     def address(self):
         return (self.ip, 8161)
@@ -94,22 +95,22 @@
             self.process = await asyncio.create_subprocess_exec(
                 self.soak.args.binary, "serve", stdout=log, stderr=log,
                 env={"RILLWALL_NODE_FILE": str(self.soak.folder / f"{self.name}.toml"), "PATH": os.environ["PATH"]})
-        self.wanted = True
+        self.should_run = True
         self.soak.started.append(self.process)
         asyncio.create_task(self.watch(self.process))
 
     async def watch(self, process):
         code = await process.wait()
-        self.soak.check("processes", not self.wanted or process is not self.process,
-                        f"{self.name} ended by itself with {code}")
+        self.soak.check("processes", not self.should_run or process is not self.process,
+                        f"{self.name} ended by itself with status {code}")
 
     def send(self, number):
         if self.process.returncode is None:
             self.process.send_signal(number)
 
     async def end(self, number):
-        """Sends a signal that ends the process, kills it after its grace, and waits."""
-        self.wanted = False
+        """Sends a signal that ends the process, kills it after its grace period, and waits for it."""
+        self.should_run = False
         self.send(signal.SIGCONT)
         self.send(number)
         try:
@@ -130,19 +131,19 @@
 
 
 class Soak:
-    """One run: the world, its clients and trainer, the faults and the checks."""
+    """One run: processes and stand-ins, clients and trainer, faults and checks."""
 
     def __init__(self, args):
         self.args, self.rng = args, random.Random(args.seed)
         self.folder = pathlib.Path(args.keep or tempfile.mkdtemp(prefix="platform-soak-"))
         self.folder.mkdir(parents=True, exist_ok=True)
         self.store = Store(self.rng)
-        self.made, self.runs, self.refused, self.counts, self.faults = {}, {}, set(), {}, {}
+        self.event_versions, self.runs, self.refused, self.counts, self.faults = {}, {}, set(), {}, {}
         self.failed, self.positions, self.ended, self.served = [], {}, {}, 0
-        self.named, self.stopping, self.config_version = 1, False, 0
+        self.newest_version, self.stopping, self.config_version = 1, False, 0
         self.whole_steps, self.started = 0, []
-        self.crashes, self.crashing_items = {}, False  # what each replica that ended began last: when, in calm
-        self.troubles, self.trouble_end = 0, 0.0  # faults under way that are not calm, and when the last ended
+        self.crashes, self.crashing_items = {}, False  # crashes: request -> (time, calm) of each replica it crashed
+        self.host_faults, self.host_fault_end = 0, 0.0  # running faults of hosts or store, and when the last one ended
 
     def check(self, name, holds, what):
         self.counts[name] = self.counts.get(name, 0) + 1
@@ -153,7 +154,8 @@
     async def build(self):
         self.begun = time.monotonic()
         await self.store.server.start()
-        self.engines = [Engine(self.store, self.rng, "engine", ZONES[i % 3], {MODEL: 1}, self.made) for i in range(4)]
+        self.engines = [Engine(self.store, self.rng, "engine", ZONES[i % 3], {MODEL: 1}, self.event_versions)
+                        for i in range(4)]
         self.services = [Service(self.store, self.rng, "plain", ZONES[i % 3], self.runs)
                          for i in range(self.args.services)]
         for replica in self.engines + self.services:
@@ -170,29 +172,29 @@
         replica.register()
 
     def crashed(self, old, request):
-        """A replica's process ends under a request, and a new one starts at its address seconds later."""
-        calm = not self.troubles and time.monotonic() - self.trouble_end > CONTACT_S
+        """Ends a replica that crashed under a request; a new one starts at its address seconds later."""
+        calm = not self.host_faults and time.monotonic() - self.host_fault_end > CONTACT_S
         self.crashes.setdefault((request.path, request.body), []).append((time.monotonic(), calm))
         kind = self.engines if old in self.engines else self.services
         if old in kind:
             kind.remove(old)
             old.server.stop()
             old.proxy.stop()
-            asyncio.create_task(self.start_again(old, kind))
+            asyncio.create_task(self.restart_replica(old, kind))
 
-    async def start_again(self, old, kind):
+    async def restart_replica(self, old, kind):
         await asyncio.sleep(self.rng.uniform(1.0, 2.0))
         self.store.revision += 1
         self.store.remove(f"servers/{old.id}")
-        new = self.successor(old, kind)
+        new = self.replacement(old, kind)
         await new.proxy.start()
         await new.server.start()
         new.register()
         kind.append(new)
 
-    def successor(self, old, kind):
-        """A replica at the address of another one."""
-        new = (Engine(self.store, self.rng, "engine", old.zone, {MODEL: self.named}, self.made)
+    def replacement(self, old, kind):
+        """Returns a replica at the address of another one."""
+        new = (Engine(self.store, self.rng, "engine", old.zone, {MODEL: self.newest_version}, self.event_versions)
                if kind is self.engines else Service(self.store, self.rng, "plain", old.zone, self.runs))
         new.server.port, new.proxy, new.on_crash = old.server.port, old.proxy, self.crashed
         return new
@@ -229,10 +231,10 @@
         if status == 200:
             self.served += 1
             self.check("whole", body == b"body of " + name.encode() and headers.get(
-                "x-rillwall-server-stamp") == "stamp-" + name, f"{name} got {body[:60]}")
+                "x-rillwall-server-stamp") == "stamp-" + name, f"request {name} was answered with {body[:60]}")
         if status in (408, 421, 429, 503):
             self.refused.add(name)
-            self.check("truth", name not in self.runs, f"{name} was refused with {status} and ran")
+            self.check("truth", name not in self.runs, f"request {name} was refused with status {status} and ran")
         return status == 200
 
     # The trainer.
@@ -249,17 +251,17 @@
                     "headers": {"X-Rillwall-Model": MODEL, "X-Rillwall-Length-Hint": str(events_of(name))},
                     "body": base64.b64encode(text).decode(),
                     "scorer": {"id": name + "5c", "host": HOST, "path": "/status/score", "body": ""}})
-        return {"step": number, "model": MODEL, "min-version": max(1, self.named - 1),
+        return {"step": number, "model": MODEL, "min-version": max(1, self.newest_version - 1),
                 "target-groups": 7, "items": items}
 
     async def trainer(self):
         number = 0
         while not self.stopping:
-            await self.one_step(number, 25)
+            await self.run_step(number, 25)
             number += 1
 
-    async def one_step(self, number, limit):
-        """Submits a step and reads it until enough groups are whole. Returns whether they were."""
+    async def run_step(self, number, limit):
+        """Submits a step and reads it until enough groups are complete. Returns whether they are."""
         step, name = self.make_step(number), f"{self.rng.getrandbits(64):016x}"
         end = time.monotonic() + limit
         accepted = False
@@ -284,8 +286,8 @@
         await self.end_step(name, step)
         if whole:
             self.whole_steps += 1
-            self.named += 1
-            self.store.write(f"op/version/{MODEL}", {"model": MODEL, "version": self.named})
+            self.newest_version += 1
+            self.store.write(f"op/version/{MODEL}", {"model": MODEL, "version": self.newest_version})
         return whole
 
     async def end_step(self, name, step):
@@ -300,61 +302,64 @@
 
     async def after_end(self, step):
         await asyncio.sleep(3.0)
-        count = lambda: sum(sum(len(v) for v in self.made.get(i["id"], {}).values()) for i in step["items"])
+        count = lambda: sum(sum(len(v) for v in self.event_versions.get(i["id"], {}).values()) for i in step["items"])
         before = count()
         await asyncio.sleep(1.0)
-        # Paused nodes learn of it when they run again.
+        # A paused node learns of the end only when it runs again.
         calm = not any(node.paused for node in self.nodes) and self.store.mode == "ok"
-        self.check("end", count() == before or not calm, f"step {step['step']} ran on after its end")
+        self.check("end", count() == before or not calm, f"step {step['step']} still ran 3 s after its end")
 
     async def read(self, name, node, after):
         got = await call(node.address(), "GET", f"/rillwall/lots/{name}?after={after}", {
             "Host": HOST, "X-Rillwall-Wait-Ms": "500"}, b"", 4)
         if got is None or got[0] != 200:
             if got is not None and got[0] in (404, 410):
-                self.check("kept", False, f"{node.name} answered {got[0]} for {name}")
+                self.check("kept", False, f"{node.name} answered {got[0]} to a read of step {name}")
             await asyncio.sleep(0.1)
             return None
         body = json.loads(got[2])
         known, step = self.positions[name], self.ended[name][0]
-        self.check("positions", body["total"] == len(step["items"]), f"{name} has total {body['total']}")
+        self.check("positions", body["total"] == len(step["items"]),
+                   f"step {name} has {body['total']} items in its results")
         for offset, row in enumerate(body["results"]):
             at = after + offset
             if at in known:
-                self.check("positions", known[at] == row, f"{name} position {at} changed at {node.name}")
+                self.check("positions", known[at] == row, f"position {at} of step {name} has changed on {node.name}")
             else:
-                self.new_result(name, step, known, at, row)
+                self.check_new_result(name, step, known, at, row)
         return len(body["results"])
 
-    def new_result(self, name, step, known, at, row):
+    def check_new_result(self, name, step, known, at, row):
         taken = {each["id"] for each in known.values()}
-        self.check("positions", row["id"] not in taken, f"{name} lists {row['id']} twice")
+        self.check("positions", row["id"] not in taken, f"step {name} lists item {row['id']} twice")
         known[at] = row
         if row["state"] != "completed":
             return
-        self.check("text", row["output"] == text_of(row["id"]), f"{row['id']} is {row['output'][:80]}")
-        self.check("text", row["score"] == "stamp-" + row["id"] + "5c", f"{row['id']} has score {row['score']}")
-        made = set().union(*self.made.get(row["id"], {0: set()}).values())
-        self.check("labels", row["versions"] and set(row["versions"]) <= made and min(row["versions"]) >= step[
-            "min-version"], f"{row['id']} names {row['versions']} of {made}, at least {step['min-version']}")
+        self.check("text", row["output"] == text_of(row["id"]), f"item {row['id']} has text {row['output'][:80]}")
+        self.check("text", row["score"] == "stamp-" + row["id"] + "5c", f"item {row['id']} has score {row['score']}")
+        generated = set().union(*self.event_versions.get(row["id"], {0: set()}).values())
+        self.check("labels", row["versions"] and set(row["versions"]) <= generated and min(row["versions"]) >= step[
+            "min-version"], f"item {row['id']} names versions {row['versions']}; its events have {generated}, "
+                            f"and the step allows {step['min-version']} or later")
 
     async def reader(self):
-        """Reads from any position at any node, as other clients do."""
+        """Reads from random positions on random nodes, as further clients do."""
         while not self.stopping:
             await asyncio.sleep(self.rng.uniform(0.1, 0.6))
             if self.positions:
                 name = self.rng.choice(list(self.positions))
                 await self.read(name, self.rng.choice(self.entries), self.rng.randint(0, len(self.positions[name])))
                 if self.rng.random() < 0.2:
-                    await self.send_again(list(self.positions)[-1])
+                    await self.submit_again(list(self.positions)[-1])
 
-    async def send_again(self, name):
-        """Sends a step once more that was accepted: it is accepted again, and only once."""
+    async def submit_again(self, name):
+        """Submits an accepted step again: the answer is the same, and the step runs only once."""
         got = await call(self.rng.choice(self.entries).address(), "POST", "/steps/s", {
             "Host": HOST, "X-Rillwall-Request-Id": name}, json.dumps(self.ended[name][0]).encode(), 6)
-        self.check("kept", got is None or got[0] in (202, 502, 503, 504), f"{name} sent again got {got and got[0]}")
+        self.check("kept", got is None or got[0] in (202, 502, 503, 504),
+                   f"step {name} was answered {got and got[0]} when submitted again")
 
-    # Faults. Each heals itself; several overlap.
+    # Faults. Each ends by itself; several overlap.
 
     async def fault_kill(self):
         await self.rng.choice(self.nodes).restart(signal.SIGKILL, self.rng.uniform(0.1, 3))
@@ -383,7 +388,7 @@
         self.store.mode = "ok"
 
     async def fault_outage(self):
-        """All processes end while the store is away: texts are on the disks only."""
+        """Ends all processes while the store is away, so that texts are only on the disks."""
         self.store.mode = self.rng.choice(["busy", "silent"])
         await asyncio.sleep(self.rng.uniform(0.5, 3))
         await asyncio.gather(*(node.restart(self.rng.choice([signal.SIGKILL, signal.SIGTERM])) for node in self.nodes))
@@ -391,13 +396,13 @@
         self.store.mode = "ok"
 
     async def fault_disk(self):
-        """A disk loses its files, or keeps the beginning of one and rubbish after it."""
+        """Each file of a disk is deleted, or truncated and followed by garbage."""
         for file in self.rng.choice(self.nodes).disk.glob("*"):
             kept = file.read_bytes()[:self.rng.randint(0, 2000)]
             file.unlink() if self.rng.random() < 0.5 else file.write_bytes(kept + b"\x00 torn\n")
 
     async def fault_forget(self):
-        self.store.forget(0)
+        self.store.compact(0)
 
     async def fault_store_path(self):
         proxy = self.rng.choice(self.nodes).proxy
@@ -418,7 +423,7 @@
         replica.fault = ""
 
     async def fault_replace(self):
-        """A replica crashes and another comes at its address."""
+        """A replica is removed and another one starts at its address."""
         kind = self.rng.choice([self.engines, self.services])
         old = self.rng.choice(kind)
         old.server.stop()
@@ -426,32 +431,33 @@
         self.store.remove(f"servers/{old.id}")
         kind.remove(old)
         await asyncio.sleep(self.rng.uniform(0, 2))
-        new = self.successor(old, kind)
+        new = self.replacement(old, kind)
         await new.server.start()
         new.register()
         kind.append(new)
 
     async def fault_crash(self):
-        """A client asks for what ends each replica that begins it, again and again, at any host."""
+        """A client repeats requests that crash each replica, on random hosts."""
         self.crashing_items = True
         for _ in range(8):
-            await self.ask_crashing(self.rng.choice(["status", "charge"]))
+            await self.send_crashing_request(self.rng.choice(["status", "charge"]))
             await asyncio.sleep(self.rng.uniform(0.1, 0.8))
 
-    async def ask_crashing(self, kind):
+    async def send_crashing_request(self, kind):
         name = f"{self.rng.getrandbits(64):016x}"
         got = await call(self.rng.choice(self.entries).address(), "POST", f"/{kind}/a", {
             "Host": HOST, "X-Rillwall-Request-Id": name, "X-Rillwall-Deadline-Ms": "1500"}, CRASHING + kind.encode(), 4)
         if got is not None and got[0] in (408, 421, 429, 503):
             self.refused.add(name)
-            self.check("truth", name not in self.runs, f"{name} was refused with {got[0]} and ran")
+            self.check("truth", name not in self.runs, f"request {name} was refused with status {got[0]} and ran")
 
     def check_crashes(self):
         for (path, body), runs in self.crashes.items():
             if len(runs) > CRASHES:
                 late = [at for at, calm in runs[CRASHES:] if calm and at > runs[CRASHES - 1][0] + CONTACT_S]
                 self.check("crashes", len(late) <= MORE_RUNS,
-                           f"{path} {body} ended {len(runs)} replicas, {len(late)} of them late and in calm")
+                           f"{path} {body} crashed {len(runs)} replicas, {len(late)} of them late and by hosts "
+                           "without a fault")
 
     async def fault_config(self):
         self.configure()
@@ -465,20 +471,20 @@
             await asyncio.sleep(self.rng.uniform(0.3, 2.5))
             name = self.rng.choice(names)
             if name not in busy or busy[name].done():
-                # Signals of one kind come in series, different kinds overlap.
+                # Faults of one kind follow each other; different kinds overlap.
                 self.faults[name] = self.faults.get(name, 0) + 1
                 busy[name] = asyncio.create_task(self.inject_one(name))
         await asyncio.gather(*busy.values())
 
     async def inject_one(self, name):
         calm = name in CALM_FAULTS
-        self.troubles += not calm
+        self.host_faults += not calm
         try:
             await getattr(self, "fault_" + name)()
         finally:
-            self.troubles -= not calm
+            self.host_faults -= not calm
             if not calm:
-                self.trouble_end = time.monotonic()
+                self.host_fault_end = time.monotonic()
 
     # The run.
 
@@ -491,25 +497,25 @@
         return False
 
     async def final_checks(self):
-        self.check("recovers", await self.all_ready(12), "not all nodes are ready again")
+        self.check("recovers", await self.all_ready(12), "not all nodes are ready again after the faults")
         if "crash" in self.faults:
-            # Everything is well again, and what crashes comes still.
+            # All other faults are over, but the crashing requests still arrive.
             await asyncio.sleep(CONTACT_S)
             await self.fault_crash()
             self.check_crashes()
             self.crashing_items = False
-            await asyncio.sleep(3)  # until the last replica that ended is back
+            await asyncio.sleep(3)  # until the last crashed replica is back
         served = [await self.request("status", f"{i:016x}") for i in range(10)]
         self.check("recovers", all(served), f"{served.count(False)} of 10 requests are not served")
-        self.check("recovers", await self.one_step(10000, 25), "a new step is not whole")
+        self.check("recovers", await self.run_step(10000, 25), "a new step is not completed")
         for name, known in self.positions.items():
             for node in self.entries:
                 await self.read_all(name, known, node)
         for name in self.refused:
-            self.check("truth", name not in self.runs, f"{name} was refused and ran later")
+            self.check("truth", name not in self.runs, f"request {name} was refused and ran later")
         for name, count in self.runs.items():
             if name in self.charges:
-                self.check("once", count <= 1, f"{name} ran {count} times")
+                self.check("once", count <= 1, f"non-idempotent request {name} ran {count} times")
 
     async def read_all(self, name, known, node):
         at = 0
@@ -518,17 +524,17 @@
             at += got or 0
             if at >= len(known):
                 break
-        self.check("kept", at >= len(known), f"{node.name} gives {at} of {len(known)} results of {name}")
+        self.check("kept", at >= len(known), f"{node.name} returns {at} of {len(known)} results of step {name}")
 
     async def run(self):
         await self.build()
         self.charges = set()
         request = self.request
-        async def noted(kind, name):
+        async def record_charge(kind, name):
             if kind == "charge":
                 self.charges.add(name)
             return await request(kind, name)
-        self.request = noted
+        self.request = record_charge
         self.check("recovers", await self.all_ready(15), "not all nodes became ready")
         await asyncio.sleep(3.5)
         work = [asyncio.create_task(each) for each in (
@@ -542,14 +548,14 @@
         for node in self.nodes:
             await node.end(signal.SIGKILL)
         for process in self.started:
-            self.check("processes", process.returncode is not None, f"process {process.pid} was left behind")
+            self.check("processes", process.returncode is not None, f"process {process.pid} still runs at the end")
             if process.returncode is None:
                 process.kill()
 
 
 def take_addresses(seed):
-    """Waits until no other run on this machine has the addresses of this seed: two such runs would
-    see each other's requests. Returns the lock, which ends with the process."""
+    """Waits until no other run on this machine uses the addresses of this seed, as two such runs would
+    receive each other's requests. Returns the lock, which the process must keep."""
     lock = open(pathlib.Path(tempfile.gettempdir()) / f"rillwall-soak-{seed % 250}.lock", "w")
     for _ in range(ADDRESS_WAIT_S):
         try:
@@ -557,11 +563,11 @@
             return lock
         except BlockingIOError:
             time.sleep(1)
-    raise SystemExit(f"Another run of seed {seed} (or of one with the same addresses) goes on; end it first.")
+    raise SystemExit(f"Another run uses the addresses of seed {seed}; wait for its end or stop it.")
 
 
 def conclude(soak, title, checks):
-    """Tells each check, keeps the logs of a failed run, and ends the program."""
+    """Prints each check, keeps the logs of a failed run, and exits."""
     failed = {name for name, _ in soak.failed}
     for name in checks:
         print(f"{title}: {'FAILED' if name in failed else 'ok'} {name} ({soak.counts.get(name, 0)} checks)")
--- a/testsuite/platform/standins.py
+++ b/testsuite/platform/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' platform: the store, model engines and a plain service, with faults."""
+"""Stand-ins for the users' platform: the store, model engines and a plain service, with faults."""
 
 import asyncio
 import base64
@@ -10,21 +10,25 @@
 
 from web import Cut, Server, answer
 
-CRASHING = b"crash"  # a request whose body begins so ends each replica that begins to run it
+CRASHING = b"crash"  # a request whose body begins with this crashes each replica that starts to run it
 
 
-def number_of(text, below):
-    """A number that depends on a text only."""
+def stable_number(text, below):
+    """Returns a number from 0 to below-1 that depends only on a text."""
     return int(hashlib.sha256(text.encode()).hexdigest()[:12], 16) % below
 
 
 class Store:
-    """The metadata store. mode: ok, busy, silent, slow, lost (changes are made, answers lost), late."""
+    """The metadata store.
+
+    Modes: ok; busy (status 503); silent (no answer); slow; lost (changes are made, but some answers are
+    lost); late (some changes are made a second after their connection was closed).
+    """
 
     def __init__(self, rng):
         self.rng, self.mode, self.revision = rng, "ok", 1
         self.items, self.leases, self.history, self.changed = {}, {}, [], asyncio.Event()
-        self.next_lease, self.forgotten = 100, 0
+        self.next_lease, self.compacted_to = 100, 0
         self.server = Server(self.handle)
 
     async def handle(self, request, _writer):
@@ -47,7 +51,7 @@
         return out
 
     @staticmethod
-    def text(query, name):
+    def unquoted(query, name):
         return urllib.parse.unquote(query.get(name, ""))
 
     def row(self, key):
@@ -57,22 +61,22 @@
 
     async def key(self, query):
         self.expire()
-        key = self.text(query, "key")
+        key = self.unquoted(query, "key")
         found = key in self.items
         return answer(200, self.row(key) | {"current-rev": self.revision}) if found else answer(404)
 
     async def range(self, query):
         self.expire()
-        prefix, after = self.text(query, "prefix"), self.text(query, "after")
+        prefix, after = self.unquoted(query, "prefix"), self.unquoted(query, "after")
         keys = sorted(key for key in self.items if key.startswith(prefix) and key > after)
         return answer(200, {"items": [self.row(key) for key in keys[:20]],
                             "more-pages": len(keys) > 20, "current-rev": self.revision})
 
     async def watch(self, query):
-        prefix, after = self.text(query, "prefix"), int(query["after"])
+        prefix, after = self.unquoted(query, "prefix"), int(query["after"])
         end = time.monotonic() + int(query["wait-ms"]) / 1000
         while True:
-            if after < self.forgotten:
+            if after < self.compacted_to:
                 return answer(410)
             events = [row for row in self.history if row["revision"] > after and row["key"].startswith(prefix)]
             left = end - time.monotonic()
@@ -84,28 +88,28 @@
             except asyncio.TimeoutError:
                 pass
 
-    def note(self, row):
+    def record_event(self, row):
         self.history.append(row)
         if len(self.history) > 400:
-            self.forget(200)
+            self.compact(200)
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def forget(self, kept):
-        self.forgotten = max([self.forgotten] + [row["revision"] for row in self.history[:-kept or None]])
+    def compact(self, kept):
+        self.compacted_to = max([self.compacted_to] + [row["revision"] for row in self.history[:-kept or None]])
         self.history = self.history[-kept:] if kept else []
 
     def put(self, key, value, lease=0):
         created = self.items[key][2] if key in self.items else self.revision
         self.items[key] = (value, self.revision, created, lease)
-        self.note(self.row(key))
+        self.record_event(self.row(key))
 
     def remove(self, key):
         if self.items.pop(key, None):
-            self.note({"key": key, "revision": self.revision, "deleted": True})
+            self.record_event({"key": key, "revision": self.revision, "deleted": True})
 
     def write(self, key, value):
-        """What the operator, a trainer or a replica writes."""
+        """Writes a value in JSON, as the operator, a trainer or a replica does."""
         self.revision += 1
         self.put(key, json.dumps(value).encode())
 
@@ -152,7 +156,7 @@
 
 
 class Replica:
-    """What engines and plain services share: registration, refusals, answers under their id."""
+    """Base of engines and plain services: registration and refusals."""
 
     def __init__(self, store, rng, service, zone, slots):
         self.store, self.rng, self.service, self.zone, self.slots = store, rng, service, zone, slots
@@ -168,14 +172,14 @@
         self.store.write(f"servers/{self.id}", self.entry())
 
     async def crash_on(self, request):
-        """Ends, as a process does, under a request that is made to bring that about."""
+        """Crashes the replica if the request is made to crash it."""
         if request.body.startswith(CRASHING):
             await asyncio.sleep(0.02)
             self.on_crash(self, request)
             raise Cut
 
     def refused(self, request):
-        """An answer that says that nothing ran, or None."""
+        """Returns an answer that says that nothing ran, or None to run the request."""
         echo = {"X_Rillwall_Request_Id": request.headers.get("x-rillwall-request-id", "")}
         if request.headers.get("x-rillwall-expect-instance", self.id) != self.id:
             return answer(421, **echo)
@@ -185,7 +189,7 @@
 
 
 class Service(Replica):
-    """A plain service. It keeps how often each id ran."""
+    """A plain service. It counts how often each request id ran."""
 
     def __init__(self, store, rng, service, zone, runs):
         super().__init__(store, rng, service, zone, 6)
@@ -210,11 +214,12 @@
 
 
 class Engine(Replica):
-    """A model engine. It keeps under which weights each event of each item was made."""
+    """A model engine. It records the weight version under which each event of each item was generated."""
 
-    def __init__(self, store, rng, service, zone, models, made):
+    def __init__(self, store, rng, service, zone, models, event_versions):
         super().__init__(store, rng, service, zone, 6)
-        self.versions, self.made, self.sequence, self.busy, self.cut = dict(models), made, 0, set(), 0
+        self.versions, self.event_versions = dict(models), event_versions
+        self.sequence, self.busy, self.cut = 0, set(), 0
 
     def models(self):
         return [{"name": name, "version": version, "adapters": []} for name, version in self.versions.items()]
@@ -274,7 +279,7 @@
             if self.versions[model] != version:
                 version = self.versions[model]
                 line = f"x-rillwall-weight-versions: {version}\n"
-            self.made.setdefault(name, {}).setdefault(at, set()).add(version)
+            self.event_versions.setdefault(name, {}).setdefault(at, set()).add(version)
             event = f"{line}id: {at}\ndata: {name}-{at}\n\n"
             writer.write(f"{len(event):x}\r\n{event}\r\n".encode())
             await writer.drain()
@@ -282,9 +287,10 @@
 
 
 def events_of(item):
-    """Events of an item's whole text: some are long."""
-    return 3 + number_of(item, 12) + (60 if number_of(item + "x", 12) == 0 else 0)
+    """Returns the number of events of an item's complete text; some texts are long."""
+    return 3 + stable_number(item, 12) + (60 if stable_number(item + "x", 12) == 0 else 0)
 
 
 def text_of(item):
+    """Returns an item's complete text."""
     return "\n".join(f"{item}-{n}" for n in range(1, events_of(item) + 1))
--- a/testsuite/platform/web.py
+++ b/testsuite/platform/web.py
@@ -1,15 +1,15 @@
-"""HTTP/1.1 and a faulty TCP proxy for the stand-ins of the platform, on loopback."""
+"""HTTP/1.1 server and client, and a TCP proxy that injects faults, for the platform's stand-ins."""
 
 import asyncio
 import json
 
 
 class Cut(Exception):
-    """The connection is to be closed without an answer."""
+    """Raised by a handler to close the connection without an answer."""
 
 
 class Request:
-    """One request as a stand-in takes it."""
+    """One request that a stand-in received."""
 
     def __init__(self, method, target, headers, body):
         self.method, self.target, self.headers, self.body = method, target, headers, body
@@ -21,7 +21,7 @@
 
 
 async def read_head(reader):
-    """Returns the first line and the headers, with names in lower case."""
+    """Returns the first line and the headers, whose names are in lower case."""
     first = (await reader.readline()).decode("latin-1").strip()
     headers = {}
     while True:
@@ -44,7 +44,7 @@
 
 
 def answer(status, body=b"", **headers):
-    """The bytes of a whole answer; underscores of header names are dashes."""
+    """Returns the bytes of a complete answer. Underscores in header names become dashes."""
     if not isinstance(body, bytes):
         body = json.dumps(body).encode()
     lines = [f"HTTP/1.1 {status} x", f"Content-Length: {len(body)}"]
@@ -53,7 +53,7 @@
 
 
 class Server:
-    """Serves one handler: handler(request, writer) returns bytes, or None if it wrote itself."""
+    """Serves handler(request, writer), which returns the answer as bytes, or None if it wrote the answer."""
 
     def __init__(self, handler):
         self.handler, self.port, self.writers, self.server = handler, 0, set(), None
@@ -64,7 +64,7 @@
         return self
 
     def stop(self):
-        """Closes the port and resets all connections."""
+        """Closes the port and aborts all connections."""
         self.server.close()
         for writer in list(self.writers):
             writer.transport.abort()
@@ -90,7 +90,7 @@
 
 
 async def call(address, method, target, headers=None, body=b"", limit=10.0):
-    """Makes one call on a connection of its own: (status, headers, body), or None without a whole answer."""
+    """Makes one call on a new connection. Returns (status, headers, body), or None without a complete answer."""
     async def run():
         reader, writer = await asyncio.open_connection(*address, limit=1 << 22)
         try:
@@ -110,7 +110,10 @@
 
 
 class Proxy:
-    """Stands between a node and one peer. mode: pass, delay, reset, refuse, silent, in, out (cut one way)."""
+    """Proxy between a node and one peer.
+
+    Modes: pass, delay, reset (once), refuse, silent; in and out hold back one direction only.
+    """
 
     def __init__(self, port):
         self.target, self.mode, self.server, self.port, self.writers = port, "pass", None, 0, set()
@@ -121,7 +124,7 @@
         return self
 
     def stop(self):
-        """Closes the port and ends all connections, as when the peer's process ends."""
+        """Closes the port and aborts all connections, as if the peer's process had ended."""
         self.server.close()
         for writer in list(self.writers):
             writer.transport.abort()
