--- a/src/include/rillwall/admission.h
+++ b/src/include/rillwall/admission.h
@@ -1,9 +1,10 @@
 /// \file
-/// Who sends a request: the client account that its API key belongs to.
+/// Authentication of client requests: finds the client account that a request's
+/// API key belongs to.
 ///
-/// A key is looked at once, by the host that took the request from the client.
-/// From there on the account's name stands for it: upstreams, other hosts, logs
-/// and the store get the name, none of them the key.
+/// Only the host that received the request from the client checks the key.
+/// After that the account's name identifies the sender: upstreams, other hosts,
+/// logs and the store see the name and never the key.
 
 #pragma once
 
@@ -14,25 +15,28 @@
 
 namespace rillwall {
 
-/// Who sends a request.
+/// The authenticated sender of a request.
 struct Caller {
-  std::string mAccount;  ///< empty: no account is needed
+  std::string mAccount;  ///< empty if the route needs no account
+  /// Priority that the account sets for its requests, if any; 0 goes first.
   std::optional<int> mPriority;
   bool operator==(const Caller&) const = default;
 };
 
-/// Finds out who sends a request.
-/// \param aRoutes the snapshot that also gave the request's route
-/// \param aPublic its route needs no key
-/// \return the caller; or Unauthorized if no account has the key; or
-/// Unavailable if this host has not heard for the configuration's bound whether
-/// there is a newer one: a key that it does not know may be new
+/// Authenticates the sender of a request.
+/// \param aRoutes the routing snapshot that the request was routed with
+/// \param aPublic whether the route needs no API key
+/// \return the sender; Unauthorized if the key is missing or belongs to no
+/// account; or Unavailable if the key is unknown and this host has not
+/// confirmed within ServingBounds::mConfig that its configuration is the
+/// newest, because the key may be new
 Result<Caller> Authenticate(const NodeContext& aNode, const RouteTable& aRoutes,
                             const HttpRequest& aRequest, bool aPublic);
 
-/// Replaces what a client sent by what an upstream may see: the account's name,
-/// and neither the key nor an account that the client claims to be.
-/// \param aAccount empty: none is named
+/// Replaces the client's credentials by what an upstream may see: removes the
+/// API key and any account name that the client sent, and adds the
+/// authenticated account's name.
+/// \param aAccount the authenticated account; if empty, no account name is sent
 void SetAccountHeader(const NodeContext& aNode, const RouteTable& aRoutes,
                       const std::string& aAccount,
                       std::vector<HttpHeader>& aHeaders);
--- a/src/include/rillwall/crash_sync.h
+++ b/src/include/rillwall/crash_sync.h
@@ -1,18 +1,18 @@
 /// \file
-/// Keeps what hosts know of requests that end replicas in the store, and has
-/// the lead tell it to all.
+/// Shares crash records (requests under which a replica process ended) among
+/// hosts through the store.
 ///
-/// The host that sees a replica end writes that to the store itself, so that it
-/// counts also if no host leads, or another one leads a moment later, and
-/// outlives all hosts. The lead, and a helper in its place, watch these keys
-/// and tell what is new with the next answers to questions for the view; a host
-/// that nobody answers reads them beside the registry. So news takes as long as
-/// that of a replica that leaves: within the bound for those, with the lead
-/// lost too.
+/// The host that sees a replica end writes the record to the store itself. The
+/// record therefore counts even if no host leads or the lead changes at that
+/// moment, and it outlives all hosts. The lead, and a helper that stands in for
+/// it, watch these keys and pass new records on with their next answers to view
+/// questions. A host that gets no such answers reads the records from the store
+/// together with the registry. A record thus spreads as fast as the news that a
+/// replica leaves, within the bound for that, even when the lead is lost.
 ///
-/// Calls to the store: one change for up to 32 records that a host made in some
-/// ms, none in a calm state; one watch a second and a half, whatever H, R
-/// and A.
+/// Store calls: one change for up to 32 records that a host made within a few
+/// ms, none while nothing crashes, and one watch every 1.5 s, whatever the
+/// number of hosts, replicas or accounts.
 
 #pragma once
 
@@ -24,34 +24,42 @@
 
 namespace rillwall {
 
+/// Writes this host's crash records to the store, and follows those of other
+/// hosts while this host answers view questions.
 class CrashSync {
  public:
-  /// \param aTellsOthers whether others ask this host for what the store says
-  CrashSync(NodeContext& aNode, std::function<bool()> aTellsOthers);
+  /// \param aServesOthers returns whether other hosts ask this host for what
+  /// the store holds
+  CrashSync(NodeContext& aNode, std::function<bool()> aServesOthers);
 
-  /// Writes what this host saw, until the process ends: also while it drains.
+  /// Writes this host's records to the store. Runs until the process ends, also
+  /// while the node drains.
   asio::awaitable<void> Save();
-  /// Follows the store while others ask this host.
+  /// Watches the records in the store while other hosts ask this host.
   asio::awaitable<void> Follow();
-  /// Reads the store once.
-  /// \return its revision then
+  /// Reads all records from the store once.
+  /// \return the store's revision at that read
   asio::awaitable<Result<int64_t>> Read();
-  /// This host may have to follow the store from now on, or the path to the
-  /// store has changed, on which a watch may hang.
+  /// Ends the current wait or watch. To be called when this host may have to
+  /// watch the store from now on, or when the path to the store has changed and
+  /// a watch may hang on the old one.
   void Wake() { mFollowWake.cancel(); }
-  /// Removes what is too old from the store. For the lead.
+  /// Removes expired records from the store. To be called by the lead.
   asio::awaitable<void> Sweep();
 
  private:
-  /// Reads once, and watches from there. \return whether to go on at once
-  asio::awaitable<bool> FollowOnce();
+  /// Reads all records and then watches for changes.
+  /// \return false if the read or the watch failed, so that the caller must
+  /// pause before the next one
+  asio::awaitable<bool> WatchFromNewRead();
 
   NodeContext& mNode;
-  const std::function<bool()> mTellsOthers;
-  asio::steady_timer mSaveWake;    ///< cancelled when there is news here
+  const std::function<bool()> mServesOthers;
+  asio::steady_timer mSaveWake;    ///< cancelled when this host has new records
   asio::steady_timer mFollowWake;  ///< cancelled by Wake()
-  Jitter mJitter{0};               ///< seeded by the process's run
-  bool mGathered = false;          ///< cleared records have waited for others
+  Jitter mJitter{0};  ///< seeded with the identity of this process start
+  bool mClearedDelayed = false;  ///< records of cleared requests have waited
+                                 ///< for others to join the change
 };
 
 }  // namespace rillwall
--- a/src/include/rillwall/node_context.h
+++ b/src/include/rillwall/node_context.h
@@ -1,10 +1,10 @@
 /// \file
-/// What the parts of a serving node share: its identity, what it knows of the
-/// configuration and the replicas, and its clients.
+/// State shared by the parts of a serving node: its identity, its
+/// configuration, the known replicas, and its clients.
 ///
 /// A serving node runs on one thread, since its hosts have a quarter of a core;
-/// so nothing here is locked. Parts outside that thread read the routes through
-/// their RcuCell.
+/// therefore nothing here is locked. Code on other threads reads the routes
+/// through their RcuCell.
 
 #pragma once
 
@@ -28,43 +28,48 @@
 
 namespace rillwall {
 
-/// Names of the headers between clients, nodes and replicas. The adapter of a
-/// platform fills them in.
+/// Names of the HTTP headers between clients, nodes and replicas. The adapter
+/// of a platform fills them in.
 struct HeaderNames {
-  std::string mRequestId;      ///< identity of one client attempt
-  std::string mTimeLeft;       ///< ms that the sender still waits
-  std::string mExpectReplica;  ///< only the replica of this id may run it
-  std::string mNotRun;         ///< in answers: the replica did not run it
-  std::string mSignature;      ///< in answers: the replica's signature
-  std::string mWeightVersion;  ///< in answers and events: of the weights
-  std::string mLastEvent;      ///< a stream goes on after this event
-  std::string mPriority;       ///< 0 goes first
-  std::string mReplicaLoad;    ///< in answers: "running,waiting,slots,..."
-  std::string mAccount;        ///< the client account, as told to upstreams
+  std::string mRequestId;  ///< identity of one client attempt
+  std::string mTimeLeft;   ///< time that the sender still waits, in ms
+  std::string
+      mExpectReplica;   ///< only the replica with this id may run the request
+  std::string mNotRun;  ///< in responses: the replica did not run the request
+  std::string mSignature;  ///< in responses: the replica's signature
+  std::string
+      mWeightVersion;      ///< in responses and events: version of the weights
+  std::string mLastEvent;  ///< resume a stream after this event
+  std::string mPriority;   ///< priority of the request; 0 goes first
+  std::string mReplicaLoad;  ///< in responses: "running,waiting,slots,..."
+  std::string mAccount;      ///< the client account, as sent to upstreams
 };
 
-/// Who this node is.
+/// The identity of this node.
 struct NodeIdentity {
   std::string mName;
   std::string mZone;     ///< availability zone
-  std::string mAddress;  ///< where other nodes reach it, ip:port
-  std::string mRun;      ///< of this start of the process; never used again
+  std::string mAddress;  ///< where other nodes reach this node, ip:port
+  std::string mRun;      ///< identity of this process start; never reused
+  /// Whether the host accepts client requests (an entry host). Other hosts are
+  /// candidates for the lead.
   bool mTakesClients = false;
 };
 
-/// Bounds that the operator's settings give, all in milliseconds.
+/// Time limits from the operator's settings, in milliseconds.
 struct ServingBounds {
   bool operator==(const ServingBounds&) const = default;
   Millis mLease{3000};     ///< between the orders of two holders of a claim
-  Millis mDrain{2000};     ///< then a leaving replica gets nothing new
-  Millis mConfig{2000};    ///< then a configuration is in force everywhere
-  Millis mCancel{3000};    ///< then nothing new of a step that was ended runs
-  Millis mGrace{8000};     ///< from the stop signal to the kill
-  Millis mStatus{120000};  ///< results stay readable so long
-  Millis mEvacuate;  ///< then an evacuated zone gets nothing new; 0: no zone is
-                     ///< ever evacuated
+  Millis mDrain{2000};     ///< until a leaving replica gets no new requests
+  Millis mConfig{2000};    ///< until a configuration is in force on all hosts
+  Millis mCancel{3000};    ///< until an ended step starts no more work
+  Millis mGrace{8000};     ///< from the stop signal to the kill signal
+  Millis mStatus{120000};  ///< how long results stay readable
+  Millis mEvacuate;  ///< until an evacuated zone gets no new requests; 0: no
+                     ///< zone is ever evacuated
 };
 
+/// Shared state of one serving node. Used on the node's thread only.
 struct NodeContext {
   NodeContext(asio::io_context& aIo, StorePort& aStore)
       : mIo(aIo), mStore(aStore), mClient(aIo) {}
@@ -77,40 +82,45 @@
   HeaderNames mHeaders;
   ServingBounds mBounds;
   RcuCell<RouteTable> mRoutes;
-  Millis
-      mConfigConfirmedAt;  ///< when it was last known that they are the newest
+  Millis mConfigConfirmedAt;  ///< when mRoutes were last confirmed to be the
+                              ///< newest
   ReplicaPool mReplicas;
   ServiceMetrics mMetrics;
   UsageMeter mUsage;
   CrashTable mCrashes;
-  /// Time of day in ms since 1970, by which usage is counted.
+  /// Returns the time of day in ms since 1970. Usage is counted by it.
   std::function<int64_t()> mTimeOfDay = WallClockMs;
-  bool mStopping = false;  ///< the stop signal has come
+  bool mStopping = false;  ///< the stop signal has arrived
 
-  /// How long the host has been suspended since it was started.
+  /// Returns how long the host has been suspended since it was started.
   std::function<Millis()> mSuspendedFor = SuspendedFor;
 
+  /// \return the current instant of mClock
   Millis Now() const { return mClock->Now(); }
 };
 
-/// Takes in what an answer tells of its replica's load, if it tells any.
+/// Records the load of a replica from the mReplicaLoad header of its response.
+/// Does nothing if the header is missing or cannot be read.
 void ObserveLoad(NodeContext& aNode, const std::string& aReplica,
                  const HttpResponse& aHead);
 
-/// Path under which a node says that it lives: 200, or 503 if it is no good as
-/// an owner of steps, as the store has not answered it for some time.
+/// Path of a node's health check. Answers 200, or 503 if the store has not
+/// answered the node for some time, as the node cannot own steps then.
 inline constexpr char kHealthPath[] = "/node/health";
-/// Asks a node for a sign of life.
-/// \return the status of its answer, or nothing if it gives none in time
+/// Sends a health check to another node.
+/// \param aLimit longest wait for the response
+/// \return the response's status, or nothing if none arrived in time
 asio::awaitable<std::optional<int>> AskHealth(NodeContext& aNode,
                                               std::string aAddress,
                                               Millis aLimit);
 
-/// Waits until a timer is cancelled, or so long.
+/// Waits until a timer is cancelled, but no longer than aSpan.
 asio::awaitable<void> WaitOnTimer(asio::steady_timer& aTimer, Millis aSpan);
-/// Waits. Ends early, without an error, if the coroutine is cancelled.
+/// Waits for aSpan. Ends early, without an error, if the coroutine is
+/// cancelled.
 asio::awaitable<void> Sleep(asio::io_context& aIo, Millis aSpan);
-/// Starts a coroutine that nobody waits for; what it throws is logged.
+/// Starts a detached coroutine. Exceptions that leave it are logged.
+/// \param aName names the coroutine in the log
 void Launch(asio::io_context& aIo, std::string aName,
             asio::awaitable<void> aRun);
 /// \return whether the running coroutine has been cancelled
--- a/src/include/rillwall/relay.h
+++ b/src/include/rillwall/relay.h
@@ -1,6 +1,6 @@
 /// \file
-/// Relays a client's request to a replica of its route's service and the
-/// answer back, unchanged.
+/// Relays client requests to the replicas of a route's service, and passes the
+/// responses back unchanged.
 
 #pragma once
 
@@ -11,28 +11,30 @@
 
 /// Serves one request on a route other than a rollout route.
 /// \param aRoute a copy, as the configuration may change meanwhile
-/// \param aCaller who sends it
+/// \param aCaller the authenticated sender
 asio::awaitable<void> RelayRequest(NodeContext& aNode, Route aRoute,
                                    Caller aCaller, const HttpRequest& aRequest,
                                    HttpExchange& aExchange);
 
-/// \return the client's identity of this attempt, or null if it sent none
+/// \return the client's identity of this attempt, or null if the request has
+/// none
 const std::string* RequestId(const NodeContext& aNode,
                              const HttpRequest& aRequest);
 
-/// \return the instant until which the client waits and the operator allows
+/// \return the deadline for the response: the earlier of the client's wait and
+/// the route's timeout
 Millis DeadlineOf(const NodeContext& aNode, const Route& aRoute,
                   const HttpRequest& aRequest);
 
-/// \return an answer of rillwall's own that tells an error. A status that
-/// promises that nothing ran is given only if the error says so.
+/// Makes the response for an error of rillwall itself. Its status promises that
+/// nothing ran only if the error says so.
 HttpResponse ErrorAnswer(const Error& aError);
 
-/// Gives an answer of rillwall's own, counts and logs it.
+/// Responds with an error of rillwall itself, counts it and logs it.
 asio::awaitable<void> RespondWithError(NodeContext& aNode, std::string aId,
                                        Error aError, HttpExchange& aExchange);
 
-/// Headers that concern only one connection are left out.
+/// \return the headers without those that concern only one connection
 std::vector<HttpHeader> EndToEndHeaders(const std::vector<HttpHeader>& aAll);
 
 }  // namespace rillwall
--- a/src/include/rillwall/rollout_service.h
+++ b/src/include/rillwall/rollout_service.h
@@ -1,10 +1,11 @@
 /// \file
-/// Owns rollout steps: accepts them durably, runs their items, lists results
-/// at positions that never change, and takes over steps whose owner is gone.
+/// Ownership of rollout steps: accepts steps durably, runs their items, lists
+/// results at positions that never change, and takes over steps whose owner is
+/// gone.
 ///
-/// Each step has one owner, named by its record in the store. Every append is
-/// guarded by the record's revision, so that an owner that was replaced while
-/// it was paused or cut off can append nothing.
+/// Each step has one owner, which its record in the store names. Every append
+/// to a step is guarded by the record's revision, so that a former owner that
+/// was paused or cut off can append nothing.
 
 #pragma once
 
@@ -24,36 +25,44 @@
 
 namespace rillwall {
 
-/// Where a step is served.
+/// The node that serves a step.
 struct RolloutLocation {
   enum class Kind {
-    Local,    ///< this node owns it, or holds all that it ever listed
-    Remote,   ///< another node does
+    Local,    ///< this node owns the step, or holds all results that it ever
+              ///< listed
+    Remote,   ///< another node serves it
     Unknown,  ///< no such step was ever accepted
   };
   Kind mKind = Kind::Unknown;
   std::string mAddress;  ///< of the other node
+  /// Whether the step has ended, if its record was read.
   bool mEnded = false;
 };
 
-/// Results from one position on.
+/// Results of a step from one position on.
 struct RolloutRead {
+  /// Number of items of the step.
   int64_t mTotal = 0;
+  /// Position after the last result of mResults.
   int64_t mNext = 0;
   std::vector<RolloutResult> mResults;
 };
 
-/// \param aListed results of a step
+/// Selects the results of one response.
+/// \param aListed listed results of a step
 /// \param aFirst position of the first of them
-/// \return those from aAfter on, as many as one answer holds
+/// \param aTotal number of items of the step
+/// \param aAfter position of the first result to return
+/// \return the results from aAfter on, as many as fit in one response
 RolloutRead ReadFrom(const std::vector<RolloutResult>& aListed, int64_t aFirst,
                      int64_t aTotal, int64_t aAfter);
 
 struct RolloutStep;
 
+/// Owns rollout steps on this node. Used on the node's thread only.
 class RolloutService {
  public:
-  /// Reads a submission again from its stored body.
+  /// Decodes a submission from its body in the store.
   using SpecDecoder = std::function<Result<RolloutSpec>(
       const std::string& aId, const StepRecord& aRecord,
       const std::string& aBody)>;
@@ -61,45 +70,63 @@
   RolloutService(NodeContext& aNode, SpecDecoder aDecoder);
   ~RolloutService();
 
-  /// Texts are kept there while the store is away; unused until it is opened.
+  /// Keeps texts on the local disk while the store does not answer; unused
+  /// until it is opened.
   StepSpool mSpool;
 
-  /// Called with each step that this node takes, and its work.
+  /// Called for each step that this node starts to own, with the number of
+  /// tokens that it is expected to generate.
   std::function<void(const RolloutSpec&, double)> mOnStep;
 
-  /// Accepts a step durably and runs it here. While the store does not answer
-  /// the step runs already, but nothing of it is listed; whoever submits it
-  /// again waits for the same acceptance. It is dropped if nobody does.
-  /// \param aBody the submission as it came, to be kept in the store
-  /// \return an error whose Run() is Unknown if the step may be accepted yet
+  /// Accepts a step durably and runs it here. If the store does not answer, the
+  /// step already runs, but none of its results are listed. A repeated
+  /// submission waits for the same acceptance. The step is dropped if nobody
+  /// submits it again.
+  /// \param aBody the submission as received, to be kept in the store
+  /// \return nothing once the step is accepted; an error whose Run() is Unknown
+  /// if the step may still be accepted
   asio::awaitable<std::optional<Error>> Accept(RolloutSpec aSpec, Route aRoute,
                                                std::string aBody);
+  /// Finds the node that serves a step. Takes the step over if its record names
+  /// this node's address.
   /// \param aAdopt take the step over if its owner does not answer
+  /// \return the location; or an error if the store does not answer, or the
+  /// step is being accepted or taken over
   asio::awaitable<Result<RolloutLocation>> Locate(std::string aId, bool aAdopt);
-  /// \return whether the step is here, or its place is remembered
+  /// \return whether the step is here, or its location is cached
   bool Knows(const std::string& aId) const;
-  /// The node at this address did not answer for a step.
+  /// Removes a step's cached location, after the node there did not answer for
+  /// the step.
   void ForgetLocation(const std::string& aId);
 
-  /// For steps that are here. Waits for a result at aAfter, if there is none.
+  /// Reads results of a step that is here. Waits for a result at aAfter if
+  /// there is none yet.
+  /// \param aWait longest wait
+  /// \return the results; or Unavailable if the step is not here, or this node
+  /// cannot confirm that it still owns the step
   asio::awaitable<Result<RolloutRead>> Read(std::string aId, int64_t aAfter,
                                             Millis aWait);
-  /// \return the body of an item, or nothing if it has none to give
+  /// \return the request body of an item, or nothing if the step is not here or
+  /// has no such item
   std::optional<std::string> Body(const std::string& aId,
                                   const std::string& aItem) const;
+  /// Ends a step: stops its runs and marks its record as ended.
   asio::awaitable<std::optional<Error>> End(std::string aId);
 
-  /// Takes over all open steps whose owner does not answer; for a new lead.
+  /// Takes over all open steps whose owner does not answer. To be called by a
+  /// new lead.
   /// \param aGone address that is known not to answer; may be empty
   asio::awaitable<void> AdoptOrphans(std::string aGone = {});
-  /// Removes steps from the store that ended long ago; for the lead.
+  /// Removes steps that ended long ago from the store. To be called by the
+  /// lead.
   asio::awaitable<void> Sweep();
-  /// Loads an ended step from the store, to be read here. Whoever asks for it
-  /// meanwhile shares the load: the clients that look at a step come together.
+  /// Loads an ended step from the store, so that it can be read here.
+  /// Concurrent callers share one load, as the clients that read a step arrive
+  /// together.
   asio::awaitable<std::optional<Error>> LoadArchive(std::string aId);
-  /// Starts items for which replicas have room.
+  /// Starts items that replicas have free slots for.
   void StartReadyItems();
-  /// Watches over open steps until the process ends.
+  /// Maintains the open steps until the process ends.
   asio::awaitable<void> Run();
   /// \return whether a step is here and still open
   bool Owns(const std::string& aId) const;
@@ -107,94 +134,102 @@
 
  private:
   using StepPtr = std::shared_ptr<RolloutStep>;
-  /// An ended step that is being read from the store.
+  /// A load of an ended step that is under way.
   struct ArchiveLoad;
   asio::awaitable<std::optional<Error>> ReadArchive(std::string aId);
 
-  /// Stretches of unfinished texts in the store.
-  struct KeptTexts {
+  /// Unfinished texts of a step in the store.
+  struct StoredTexts {
     std::vector<RolloutPart> mParts;
     int64_t mNext = 0;  ///< number of the next write
   };
 
   StepPtr MakeStep(RolloutSpec aSpec, const Route& aRoute, StepRecord aRecord,
                    int64_t aRevision);
-  void AdoptTexts(RolloutStep& aStep);
-  /// Keeps what a step leaves, for a later one.
-  void Carry(const RolloutStep& aStep);
+  /// Adds texts that earlier steps of the account left unfinished.
+  void ResumeCarriedTexts(RolloutStep& aStep);
+  /// Keeps a step's texts of unfinished groups for a later step.
+  void CarryTexts(const RolloutStep& aStep);
   asio::awaitable<Result<StepPtr>> TakeOver(std::string aId, StepRecord aRecord,
                                             int64_t aRevision);
-  /// The same, while no other takeover of the step is under way here.
+  /// Takes a step over unless another acceptance or takeover of it is under way
+  /// here.
   asio::awaitable<Result<StepPtr>> TakeOverOnce(std::string aId,
                                                 StepRecord aRecord,
                                                 int64_t aRevision);
-  /// Takes one orphan over, or logs why not.
-  asio::awaitable<void> TakeOrphan(std::string aId, StepRecord aRecord,
-                                   int64_t aRevision);
-  /// A step whose record is on its way to the store.
+  /// Takes one orphan over; logs the reason if that fails.
+  asio::awaitable<void> TakeOverOrphan(std::string aId, StepRecord aRecord,
+                                       int64_t aRevision);
+  /// A step whose record is being written to the store.
   struct Acceptance;
   using AcceptancePtr = std::shared_ptr<Acceptance>;
   AcceptancePtr MakeAcceptance(RolloutSpec aSpec, Route aRoute,
                                const std::string& aBody);
-  /// Runs the step if the store has not answered a moment later.
-  asio::awaitable<void> BeginSoon(AcceptancePtr aAcceptance);
-  /// Writes the record until the store has answered or nobody asks any more.
-  asio::awaitable<void> Settle(AcceptancePtr aAcceptance);
-  /// Makes one write of it.
-  /// \return its outcome, or nothing if it is to be made again
+  /// Starts the step if the store has not answered after a short delay.
+  asio::awaitable<void> StartAfterDelay(AcceptancePtr aAcceptance);
+  /// Writes the record until the store answers or nobody waits for it any more.
+  asio::awaitable<void> CommitAcceptance(AcceptancePtr aAcceptance);
+  /// Writes the record once.
+  /// \return the record's revision (0 if another node accepted the step), or
+  /// nothing if the write must be repeated
   asio::awaitable<std::optional<Result<int64_t>>> CommitOnce(
       AcceptancePtr aAcceptance);
-  /// Runs the step, if it does not run yet.
-  void Begin(const AcceptancePtr& aAcceptance);
-  /// The store has the record, by this node or another one.
-  /// \param aTook since the record was first written
-  void Conclude(const AcceptancePtr& aAcceptance, int64_t aRevision,
-                Millis aTook);
-  /// Ends the runs of a step that was not accepted here.
+  /// Starts the step unless it runs already.
+  void StartStep(const AcceptancePtr& aAcceptance);
+  /// Finishes an acceptance once the store has the record.
+  /// \param aRevision of the record; 0 if another node wrote it
+  /// \param aTook time since the record was first written
+  void FinishAcceptance(const AcceptancePtr& aAcceptance, int64_t aRevision,
+                        Millis aTook);
+  /// Stops a step that was not accepted here.
   void Discard(const AcceptancePtr& aAcceptance, const char* aWhy);
   asio::awaitable<Result<std::vector<RolloutResult>>> LoadPages(
       std::string aId);
   asio::awaitable<Result<std::string>> LoadBody(std::string aId);
-  /// Reads what earlier owners kept of unfinished texts.
-  asio::awaitable<Result<KeptTexts>> LoadParts(std::string aId);
-  /// Removes the marks of takeovers from owners that are long gone.
-  asio::awaitable<void> SweepTaken(int64_t aOldestMs);
+  /// Reads the unfinished texts that earlier owners kept.
+  asio::awaitable<Result<StoredTexts>> LoadParts(std::string aId);
+  /// Removes takeover marks whose former owners are long gone.
+  asio::awaitable<void> SweepTakeoverMarks(int64_t aOldestMs);
   asio::awaitable<std::optional<Error>> Remove(std::string aId,
                                                int64_t aRevision);
-  asio::awaitable<bool> Answers(std::string aAddress);
+  asio::awaitable<bool> IsHealthy(std::string aAddress);
 
-  /// \return whether a step is known well enough not to have ended elsewhere
+  /// \return whether this node was confirmed as the owner recently enough for
+  /// the step not to have ended elsewhere
   bool MayStart(const RolloutStep& aStep) const;
   bool StartNext(const StepPtr& aStep);
-  /// \return the service that an item's route allows; null: none
+  /// \return the service that the route picks for an item; null if there is
+  /// none
   static const std::string* ServiceOf(const RolloutStep& aStep, size_t aItem);
-  /// \return what a step's texts ask of a replica, but for its service
-  ReplicaWish WishOf(const RolloutStep& aStep) const;
+  /// \return what a step's items require of a replica, except for the service
+  ReplicaWish RequirementsOf(const RolloutStep& aStep) const;
   std::optional<std::string> ChooseReplica(const RolloutStep& aStep,
                                            const RolloutPick& aPick) const;
-  /// Ends streams at slower replicas if a faster one has room; the items go on
-  /// there.
-  void MoveFromSlow(const StepPtr& aStep);
+  /// Ends streams at slower replicas if a faster one has a free slot; the items
+  /// continue there.
+  void MoveFromSlowReplicas(const StepPtr& aStep);
   asio::awaitable<void> RunItem(StepPtr aStep, size_t aItem, Replica aReplica);
   asio::awaitable<void> ScoreItem(StepPtr aStep, size_t aItem);
-  /// Writes results and unfinished texts down if that is due.
+  /// Writes results and unfinished texts to the store if that is due.
   void ScheduleFlush(const StepPtr& aStep);
-  /// \param aList results too, not only unfinished texts
+  /// \param aList write results too, not only unfinished texts
   asio::awaitable<void> Flush(StepPtr aStep, bool aList);
-  /// Writes texts to the disk while the store takes none.
+  /// Writes unfinished texts to the disk if that is due.
   void ScheduleSpool(const StepPtr& aStep);
   asio::awaitable<void> Spool(StepPtr aStep, std::vector<RolloutPart> aParts);
-  /// Makes one write, as often as it takes. \return whether it is done
+  /// Writes a change, retrying until the outcome is known.
+  /// \return whether the change was applied
   asio::awaitable<bool> CommitWrite(StepPtr aStep, StoreChange aChange);
-  /// Makes sure that this node still owns a step, by the store's word of less
-  /// than a second ago.
+  /// Makes sure that the store named this node as the owner less than a second
+  /// ago.
   asio::awaitable<std::optional<Error>> Verify(StepPtr aStep);
-  /// The same for one step by its own record.
+  /// Checks the ownership of one step by the step's own record.
   asio::awaitable<std::optional<Error>> VerifyRecord(StepPtr aStep);
-  /// Asks once for all steps whether one was taken from this node.
+  /// Checks with one store call for all steps whether one was taken over from
+  /// this node.
   asio::awaitable<std::optional<Error>> VerifyAll();
-  asio::awaitable<std::optional<Error>> AskTaken();
-  /// This node owns the step no more.
+  asio::awaitable<std::optional<Error>> CheckTakeovers();
+  /// Stops a step that this node no longer owns, and removes it.
   void Drop(const StepPtr& aStep, const char* aWhy);
   std::vector<StepPtr> RunningSteps() const;
   void StopRuns(RolloutStep& aStep);
@@ -203,19 +238,21 @@
   NodeContext& mNode;
   const SpecDecoder mDecoder;
   std::map<std::string, StepPtr> mSteps;
-  /// What ended steps listed, each of them whole.
+  /// All results of ended steps.
   ResultCache mArchives;
   std::map<std::string, std::shared_ptr<ArchiveLoad>> mArchiveLoads;
   /// Steps that are being taken over here, and those that are being accepted.
-  /// Neither may begin while the other goes on: both end in mSteps.
-  std::set<std::string> mTaking;
+  /// Neither may begin while the other is under way, as both add the step to
+  /// mSteps.
+  std::set<std::string> mTakeovers;
   std::map<std::string, AcceptancePtr> mAcceptances;
-  std::map<std::string, std::string> mPlaces;  ///< addresses of other owners
+  std::map<std::string, std::string> mRemoteOwners;  ///< addresses, by step
   LengthHints mLengths;
-  bool mVerifying = false;  ///< the store is being asked about all steps
-  std::optional<Error> mVerifyFailure;  ///< of the last such call
-  int64_t mTakenRevision = 0;  ///< of the key that tells of takeovers from us
-  /// Texts of groups that were not whole when their step ended, by item.
+  bool mVerifying = false;              ///< a check of all steps is under way
+  std::optional<Error> mVerifyFailure;  ///< of the last check of all steps
+  /// Of the key that marks takeovers from this process.
+  int64_t mTakenRevision = 0;
+  /// Texts, by item, of groups that were unfinished when their step ended.
   using CarriedTexts = std::map<std::string, RolloutText>;
   std::map<std::string, CarriedTexts> mCarried;  ///< by account
 };
--- a/src/include/rillwall/service_metrics.h
+++ b/src/include/rillwall/service_metrics.h
@@ -1,8 +1,9 @@
 /// \file
-/// Counters and latency histograms of the serving path, as Prometheus text.
+/// Counters, gauges and latency histograms of the serving path, as Prometheus
+/// text.
 ///
 /// Label sets are bounded: a label's value comes from the program or the
-/// operator's configuration, never from a request. Used on one thread.
+/// operator's configuration, never from a request. To be used on one thread.
 
 #pragma once
 
@@ -16,15 +17,15 @@
 
 namespace rillwall {
 
-/// A histogram with fixed bounds in milliseconds.
+/// A histogram with fixed bucket bounds in milliseconds.
 class LatencyHistogram {
  public:
   static constexpr std::array<int64_t, 12> kBounds = {
       5, 10, 20, 50, 100, 200, 400, 800, 1600, 4000, 8000, 20000};
 
   void Add(Millis aSpan);
-  /// Appends the series of Prometheus' exposition format.
-  void Print(std::string& aOut, std::string_view aName) const;
+  /// Appends the histogram's series in Prometheus' exposition format.
+  void AppendTo(std::string& aOut, std::string_view aName) const;
 
  private:
   std::array<uint64_t, kBounds.size()> mBuckets{};
@@ -32,14 +33,19 @@
   int64_t mSum = 0;
 };
 
+/// The metrics of one node. A metric exists from its first use on.
 class ServiceMetrics {
  public:
-  /// \param aLabels as in the exposition format, such as kind="read"; or empty
+  /// Adds to a counter.
+  /// \param aLabels as in the exposition format, such as kind="read"; may be
+  /// empty
   void Count(std::string_view aName, std::string_view aLabels = {},
              uint64_t aAmount = 1);
+  /// Adds a latency to a histogram.
   void Measure(std::string_view aName, Millis aSpan);
-  /// A value as it stands when the text is made.
+  /// Sets a gauge.
   void Set(std::string_view aName, int64_t aValue);
+  /// \return all metrics in Prometheus' exposition format
   std::string Text() const;
 
  private:
--- a/src/include/rillwall/step_spool.h
+++ b/src/include/rillwall/step_spool.h
@@ -1,11 +1,13 @@
 /// \file
-/// Texts of open steps on this host's own disk, while the store is away.
+/// Keeps texts of open steps on this host's own disk while the store does not
+/// answer.
 ///
-/// What lasts is in the store. But nothing can be written there in an outage,
-/// and a process that ends in it would lose what it generated meanwhile. So an
-/// owner appends its unlisted texts to a file for each step; the process that
-/// comes after it on the same host takes them up once the store is back. A lost
-/// or broken file costs time only: the texts are generated again.
+/// Durable state is in the store. During an outage of the store nothing can be
+/// written there, and a process that ends meanwhile would lose the texts that
+/// it generated. An owner therefore appends its unlisted texts to one file for
+/// each step. The next process on the same host resumes them once the store
+/// answers again. A lost or broken file costs only time: its texts are
+/// generated again.
 
 #pragma once
 
@@ -21,35 +23,40 @@
 
 namespace asio = boost::asio;
 
+/// Files with unlisted texts, one for each step. Disk calls run on a thread of
+/// their own.
 class StepSpool {
  public:
   explicit StepSpool(asio::io_context& aIo) : mIo(aIo) {}
   ~StepSpool() { mDisk.join(); }
 
-  /// Without a folder nothing is kept. Removes files that are too old for their
-  /// steps to be open still.
-  /// \param aMaxBytes of all files together
+  /// Opens the folder and removes files that are too old for their steps to be
+  /// still open.
+  /// \param aFolder where the files are; if empty, nothing is kept
+  /// \param aMaxBytes limit for all files together
   void Open(std::string aFolder, size_t aMaxBytes);
-  bool Usable() const { return !mFolder.empty(); }
+  /// \return whether a folder was given
+  bool IsOpen() const { return !mFolder.empty(); }
 
-  /// Appends to a step's file and makes it last.
-  /// \return what went wrong, empty if it is on the disk
+  /// Appends texts to a step's file and syncs it to the disk.
+  /// \return the error, or an empty string if the texts are on the disk
   asio::awaitable<std::string> Append(std::string aStep,
                                       std::vector<RolloutPart> aParts);
-  /// \return what the step's file holds, up to the first broken line
+  /// \return the texts in the step's file, up to the first broken line; empty
+  /// if the disk does not answer in time
   asio::awaitable<std::vector<RolloutPart>> Load(std::string aStep);
-  /// The step needs its file no more.
+  /// Removes the file of a step that no longer needs it.
   void Remove(const std::string& aStep);
 
  private:
   std::string PathOf(const std::string& aStep) const;
 
   asio::io_context& mIo;
-  /// A disk may hang for seconds: its calls wait on a thread of their own.
+  /// Disk calls run on a thread of their own, as a disk may hang for seconds.
   asio::thread_pool mDisk{1};
   std::string mFolder;
   size_t mMaxBytes = 0;
-  size_t mBytes = 0;  ///< of all files, as far as known; on mDisk only
+  size_t mBytes = 0;  ///< approximate size of all files; used on mDisk only
 };
 
 }  // namespace rillwall
--- a/src/include/rillwall/suspects.h
+++ b/src/include/rillwall/suspects.h
@@ -1,10 +1,10 @@
 /// \file
-/// Shows operators which requests are suspected of ending replicas, and lets
-/// them know better: a request that is held may be cleared, as when a repaired
-/// release of its service runs, and one may be held by hand.
+/// Lists the requests that are suspected of ending replicas, and lets operators
+/// override the suspicion: a held request may be cleared, for example after its
+/// service was repaired, and a request may be held manually.
 ///
-/// What is changed at one host goes to all others by the same way as what hosts
-/// see themselves (CrashSync).
+/// A change that is made at one host reaches all others the same way as the
+/// records that hosts make themselves (CrashSync).
 
 #pragma once
 
@@ -12,11 +12,12 @@
 
 namespace rillwall {
 
-/// Path of a host's answers: GET lists; POST with the query parameters request
-/// (a digest) and action (clear or hold) changes.
+/// Path of a host's suspects. GET lists them. POST with the query parameters
+/// request (a digest) and action (clear or hold) changes one.
 inline constexpr char kSuspectsPath[] = "/node/suspects";
 
-/// \return the answer: 200 with JSON, or 400 or 404 that tell the remedy
+/// Serves a request to kSuspectsPath.
+/// \return 200 with JSON, or 400 or 404 with an error that names the remedy
 HttpResponse HandleSuspectsRequest(NodeContext& aNode,
                                    const HttpRequest& aRequest);
 
--- a/src/include/rillwall/upstream_call.h
+++ b/src/include/rillwall/upstream_call.h
@@ -1,6 +1,6 @@
 /// \file
-/// One call to a service: chooses replicas, tries again where that is allowed,
-/// and says truthfully whether the request may have run.
+/// One call to a service: chooses replicas, retries where that is allowed, and
+/// reports truthfully whether the request may have run.
 
 #pragma once
 
@@ -12,39 +12,46 @@
 
 namespace rillwall {
 
-/// What to call.
+/// The parameters of a call.
 struct UpstreamCall {
   std::string mId;       ///< identity of the request, echoed by the replica
-  HttpRequest mRequest;  ///< without the headers that this module sets
+  HttpRequest mRequest;  ///< without the headers that CallUpstream() sets
   std::string mService;
-  std::string mAccount;  ///< client account that it is counted for; or empty
+  std::string mAccount;  ///< client account that the request is counted for;
+                         ///< may be empty
   RequestKind mKind = RequestKind::Idempotent;
-  int mAttempts = 1;  ///< replicas that may run it
-  Millis mDeadline;   ///< instant at which the caller must have its answer
+  int mAttempts = 1;  ///< most replicas that may run the request
+  Millis mDeadline;   ///< when the caller must have its response
   Millis mTargetLatency;
-  AllowedRegions mRegions;  ///< in which it may be served
+  AllowedRegions mRegions;  ///< regions in which the request may be served
 };
 
-/// A replica's answer: whole, or its beginning and the rest as a stream.
+/// A replica's response, either whole or as its beginning and a stream of the
+/// rest.
 struct UpstreamResponse {
-  HttpResponse mHead;                 ///< its body is what has come so far
-  std::unique_ptr<HttpStream> mRest;  ///< null if the answer is whole
+  HttpResponse mHead;                 ///< its body is what has arrived so far
+  std::unique_ptr<HttpStream> mRest;  ///< null if the response is whole
   std::string mReplica;
+  /// Number of the try that was answered.
   int mTries = 0;
 };
 
-/// Counts a request at a replica for as long as it lives.
+/// Counts a request as in flight at a replica during the lifetime of the
+/// object.
 class InFlightRequest {
  public:
-  /// \param aModel whose weights serve the request; empty: any
+  /// \param aModel model whose weights serve the request; empty: any
   InFlightRequest(NodeContext& aNode, std::string aReplica,
                   std::string aModel = {});
   ~InFlightRequest();
   InFlightRequest(const InFlightRequest&) = delete;
   InFlightRequest& operator=(const InFlightRequest&) = delete;
-  /// Tells how it ended; without it the request counts as abandoned.
-  /// \param aStream its time says nothing of the replica's latency
+  /// Reports how the request ended. Without this call the request counts as
+  /// abandoned.
+  /// \param aStream the response was a stream, whose duration says nothing
+  /// about the replica's latency
   void End(ReplicaOutcome aOutcome, bool aStream = false);
+  /// \return when the request was started
   Millis Started() const { return mStarted; }
 
  private:
@@ -57,7 +64,7 @@
 
 /// Makes a call. Destroying or cancelling the coroutine closes the connection,
 /// which ends the work at the replica.
-/// \return the answer, or an error whose Run() is NotRun only if no replica
+/// \return the response, or an error whose Run() is NotRun only if no replica
 /// can have run the request
 asio::awaitable<Result<UpstreamResponse>> CallUpstream(NodeContext& aNode,
                                                        UpstreamCall aCall);
--- a/src/include/rillwall/usage_reporter.h
+++ b/src/include/rillwall/usage_reporter.h
@@ -1,16 +1,17 @@
 /// \file
-/// Reports how many requests of each client account began to run: one report
-/// for each window of time, made and sent by the lead.
+/// Reports to the platform how many requests of each client account began to
+/// run. The lead makes and sends one report for each window of time.
 ///
 /// A report is fixed in the store, under the lead's claim, before it is first
-/// sent; so it is the same whoever sends it, and however often. It is fixed
-/// when every host has told what it counted, or at the last safe moment. One
-/// call to the store and one to the platform for each window; nothing else
-/// while no lead changes.
+/// sent. It is therefore the same whoever sends it and however often. It is
+/// fixed when every host has told its counts, or at the last safe moment. Each
+/// window costs one call to the store and one to the platform; there are no
+/// other calls while the lead does not change.
 ///
-/// What remains unsure, and is said in the log: counts of hosts that were
-/// killed or could not be heard; and whether a report was taken that got no
-/// answer. That one is sent again, which changes nothing if it was.
+/// Two things remain uncertain, and the log names them: the counts of hosts
+/// that were killed or could not be heard, and whether a report without an
+/// answer was accepted. Such a report is sent again, which changes nothing if
+/// it was accepted.
 
 #pragma once
 
@@ -25,69 +26,78 @@
 
 namespace rillwall {
 
-/// Under which claim a call of a duty is made.
+/// The lead claim under which a call to the platform is made.
 struct FencingToken {
-  std::string mHolder;  ///< name of the host that makes it
+  std::string mHolder;  ///< name of the host that makes the call
   int64_t mFence = 0;
   bool operator==(const FencingToken&) const = default;
 };
 
-/// The platform's side of the duty. A call is made by this host itself, never
-/// through another one: the platform takes hosts for holders.
+/// The platform's interface for usage reports. Each host makes its calls
+/// itself, never through another host, as the platform identifies the holder by
+/// the calling host.
 class UsagePort {
  public:
   virtual ~UsagePort() = default;
-  /// \return nothing if the report was taken; an error whose Run() is NotRun if
-  /// it was refused
+  /// Sends a report.
+  /// \return nothing if the report was accepted; an error whose Run() is NotRun
+  /// if it was refused
   virtual asio::awaitable<std::optional<Error>> Report(UsageReport aReport,
                                                        FencingToken aClaim) = 0;
 };
 
+/// Collects the hosts' counts and reports them while this node leads.
 class UsageReporter {
  public:
   UsageReporter(NodeContext& aNode, LeadClaim& aLead, UsagePort& aPort);
 
-  /// \param aLate then a window's report is due, after its end
-  void SetReportDelay(Millis aLate) { mLate = aLate; }
-  /// Takes in what a host told.
-  /// \param aText whole counts of the windows with news; empty: it has none
+  /// \param aDelay time after a window's end at which its report is due
+  void SetReportDelay(Millis aDelay) { mReportDelay = aDelay; }
+  /// Records the counts that a host told.
+  /// \param aText whole counts of the windows that changed; empty if the host
+  /// has no new counts
   void Take(const NodeEntry& aFrom, const std::string& aText);
 
-  /// Reports while this node leads, until it stops.
+  /// Sends reports while this node leads. Runs until the node stops.
   asio::awaitable<void> Run();
 
  private:
   /// A report that is fixed in the store.
-  struct Fixed {
+  struct FixedReport {
     UsageReport mReport;
-    bool mTaken = false;  ///< by the platform
+    bool mAccepted = false;  ///< the platform has accepted it
     int mTries = 0;
     Millis mNextTry;
   };
-  /// Reads what earlier holders fixed.
+  /// Reads the reports that earlier holders of the claim fixed.
+  /// \return whether the store answered
   asio::awaitable<bool> Recover();
   /// \return whether the report of a window may be fixed now
-  bool MayFix(int64_t aWindow) const;
-  /// \return the report of the next window, by what hosts have told
+  bool MayFixReport(int64_t aWindow) const;
+  /// \return the report of the next window from the counts that hosts have told
   UsageReport Collect();
-  /// \return the change that fixes a report, and removes those taken before
+  /// \return the change that fixes a report and removes the reports that the
+  /// platform has accepted
   StoreChange FixingChange(const UsageReport& aReport) const;
   /// Fixes the report of the next window.
-  asio::awaitable<void> Fix();
+  asio::awaitable<void> FixReport();
   void LogFixed(const UsageReport& aReport, bool aByThisClaim) const;
+  /// Sends the fixed reports that are due.
   asio::awaitable<void> Send();
+  /// Gives up reports that are too old, and forgets their counts.
   void ForgetOld();
 
   NodeContext& mNode;
   LeadClaim& mLead;
   UsagePort& mPort;
-  Millis mLate{10000};
+  Millis mReportDelay{10000};
   UsageBook mBook;
   Jitter mJitter;
   int64_t mFence = 0;  ///< of the claim for which mFixed was read; 0: none
   Millis mLeadingSince;
-  int64_t mNext = 0;  ///< window to be fixed next
-  std::map<int64_t, Fixed> mFixed;
+  int64_t mNext = 0;  ///< next window to be fixed
+  /// Fixed reports that may still have to be sent, by window.
+  std::map<int64_t, FixedReport> mFixed;
 };
 
 }  // namespace rillwall
--- a/src/include/rillwall/view_exchange.h
+++ b/src/include/rillwall/view_exchange.h
@@ -1,23 +1,26 @@
 /// \file
-/// Shares what the store says among the nodes, so that few of them ask it.
+/// Shares the contents of the store among the nodes, so that few of them read
+/// it.
 ///
-/// The lead lists the replicas and follows the configuration; the others ask
-/// it. Whoever gets no answer asks a candidate, which then reads the store
-/// itself for some time, for all who ask it. Only what a node read from the
-/// store itself is passed on, with its age, so that a view is never older than
-/// it is thought to be, however late a node is.
+/// The lead lists the replicas and follows the configuration; the other nodes
+/// ask it. A node that gets no answer from the lead asks a candidate, which
+/// then reads the store itself for some time on behalf of all that ask it (a
+/// helper). A node passes on only what it read from the store itself, together
+/// with its age. A view is therefore never older than its reader assumes,
+/// however late a node is.
 ///
-/// Bytes told, with H nodes and R replicas: a node that knows nothing is told R
-/// entries of some 200 bytes once, from a text that is written down once for
-/// all. One that knows the list is told what changed; entry hosts hear nothing
-/// of weight versions, so in a calm state that is some 150 bytes for each
-/// question. The list of nodes is bounded (NodeDirectory).
+/// Cost, with H nodes and R replicas: a node that knows nothing is sent R
+/// entries of some 200 bytes once, from a text that is encoded once for all
+/// nodes. A node that knows the list is sent the changes. Entry hosts are sent
+/// no weight versions, so that a question without changes costs some 150 bytes.
+/// The list of nodes is bounded (NodeDirectory).
 ///
 /// With very many replicas (RegistryTable::kWholeService) every candidate reads
-/// the store itself, and a host asks one of its own availability zone, which
-/// tells it a subset: bytes, state and connections of a host do not grow with
-/// R, and the lead answers none of the H. A calm question costs a comparison;
-/// after a change, K look-ups.
+/// the store itself, and an entry host asks a candidate of its own availability
+/// zone, which sends it a subset. The bytes, state and connections of a host
+/// then do not grow with R, and the lead does not answer all H nodes. A
+/// question without changes costs one comparison; after a change, it costs K
+/// look-ups for a subset of K replicas.
 
 #pragma once
 
@@ -37,130 +40,147 @@
 
 namespace rillwall {
 
-/// The operator's configuration as the store has it.
+/// The operator's configuration as read from the store.
 struct ConfigText {
   std::string mText;
   int64_t mRevision = 0;
   bool operator==(const ConfigText&) const = default;
 };
 
-/// What another node told.
+/// What another node's answer changes here.
 struct ViewUpdate {
-  /// All replicas, if they are not those told before.
+  /// All replicas, if they differ from those of the previous answer.
   std::optional<std::vector<Replica>> mReplicas;
-  bool mFollowsConfig = false;        ///< that node follows the configuration
-  std::optional<ConfigText> mConfig;  ///< newer than the one known here
+  /// The answering node follows the configuration.
+  bool mFollowsConfig = false;
+  std::optional<ConfigText> mConfig;  ///< set if newer than the one known here
 };
 
+/// Asks other nodes for their view of the store, and answers such questions.
 class ViewExchange {
  public:
   ViewExchange(NodeContext& aNode, LeadClaim& aLead, NodeDirectory& aNodes);
-  /// Called when another node asks this one in the lead's place.
+  /// Called when another node begins to ask this node in place of the lead.
   std::function<void()> mOnHelpRequested;
-  /// \return whether this node owns steps, and has to know weight versions
+  /// Returns whether this node owns steps, and therefore needs weight versions.
   std::function<bool()> mOwnsSteps = [] { return false; };
-  /// Takes in what a node tells beside its question, if this node leads.
+  /// Called on the lead with a node and the usage counts that came with its
+  /// question.
   std::function<void(const NodeEntry&, const std::string&)> mOnUsage;
-  /// When and whom to ask.
+  /// \return the plan of when to ask which source
   ViewPlan& Plan() { return mPlan; }
-  /// \return the source to ask now; nothing if it is not time for any
+  /// \return the source to ask now, or nothing if it is not time for any
   std::optional<ViewSource> NextSource();
   /// Asks the lead or a helper.
-  /// \return what it told; nothing if that does not help
+  /// \return what changed, or nothing if the source gave no usable answer
   asio::awaitable<std::optional<ViewUpdate>> Ask(ViewSource aSource);
-  /// \return all replicas as another node told them last
+  /// \return all replicas of the last answer
   std::vector<Replica> Told() const { return mMirror.All(); }
-  /// \return the candidate that keeps an ended step for all nodes, chosen by
-  /// the hash of both names; nothing if none is known
+  /// \return the candidate that caches an ended step for all nodes, chosen by a
+  /// hash of both names; nothing if no candidate is known
   std::optional<std::string> ArchiveHostOf(const std::string& aStep) const;
-  /// \return whether weight versions are known here
+  /// \return whether this node knows weight versions
   bool KnowsVersions() const { return mListedAt || mMirrorVersions; }
   /// Asks the store who leads.
   asio::awaitable<void> LookUp();
-  /// \return whether others ask this node in the lead's place
+  /// \return whether others ask this node in place of the lead
   bool Helping() const;
 
-  /// This node has listed the replicas in the store.
-  /// \param aAsked when it asked
+  /// Records that this node listed the replicas in the store.
+  /// \param aAsked when it asked the store
   void Listed(const std::vector<Replica>& aReplicas, Millis aAsked);
-  /// This node has brought a table of very many replicas up to date. From then
-  /// on others are told subsets of it.
-  /// \param aTable lives as long as this
+  /// Records that this node updated a table of very many replicas from the
+  /// store. From then on others are sent subsets of it.
+  /// \param aTable must outlive this object
+  /// \param aAsked when it asked the store
   void ReadTable(const RegistryTable& aTable, Millis aAsked);
-  /// \return whether there are so many replicas that hosts are told subsets
-  bool Large() const { return mTable != nullptr || mLargeTold; }
-  /// \return whether this node reads the store for others: it leads, or was
-  /// asked in the lead's place, or is a candidate where there are very many
+  /// \return whether there are so many replicas that hosts are sent subsets
+  bool Large() const { return mTable != nullptr || mLargeReported; }
+  /// \return whether this node reads the store for others: it leads, or is
+  /// asked in place of the lead, or is a candidate and there are very many
   /// replicas
   bool ReadsForOthers() const;
-  /// Tells the lead that this node lives, and hears which others do. For a node
-  /// that reads the store itself.
+  /// Tells the lead that this node lives, and learns which other nodes do. For
+  /// a node that reads the store itself.
   asio::awaitable<void> Introduce();
 
-  /// This node could not list them: the store does not answer it.
-  void ListingFailed() { mUnlistedAt = mNode.Now(); }
-  /// The configuration in force here.
+  /// Records that this node could not list the replicas, as the store did not
+  /// answer it.
+  void ListingFailed() { mListingFailedAt = mNode.Now(); }
+  /// Sets the configuration in force here.
   void Configured(ConfigText aConfig);
-  /// The zones that the operator has evacuated, all of them.
+  /// Sets the zones that the operator has evacuated. Replaces the previous set.
   void Evacuated(std::set<std::string> aZones);
-  /// Whether this node follows the configuration in the store itself.
+  /// Sets whether this node follows the configuration in the store itself.
   void Follows(bool aFollows);
 
-  /// Answers another node's question. Status 503 if this node has never read
-  /// the store itself; it says so if that is since the store does not answer.
+  /// Answers another node's question. The status is 503 if this node has never
+  /// read the store itself; a header tells if the reason is that the store does
+  /// not answer.
   HttpResponse Answer(const HttpRequest& aRequest);
-  /// Gives out the text of the configuration.
+  /// Answers with the compressed text of the configuration.
   HttpResponse HandleConfigRequest();
 
-  /// Says whether this node reaches another one: 200, or 404; 503 if it does
-  /// not know that node.
+  /// Answers whether this node reaches another one: 200 if it does, 404 if not,
+  /// 503 if it does not know that node.
   asio::awaitable<HttpResponse> HandleReachRequest(const HttpRequest& aRequest);
-  /// Asks some entry hosts, in different availability zones as far as that can
-  /// be told, whether they reach a node.
-  /// \return whether some answered, and none of them reaches it
+  /// Asks some entry hosts, spread over availability zones as far as that is
+  /// known, whether they reach a node.
+  /// \return whether at least one host answered and none of them reaches the
+  /// node
   asio::awaitable<bool> ConfirmUnreachable(std::string aAddress);
 
  private:
-  /// What makes answers differ from one another.
+  /// The parts of a question that its answer depends on.
   struct AnswerKey {
     bool mVersions = false;
     ReplicaMark mKnown;
-    int64_t mCrashes = 0;  ///< records of crashes are known up to this
-    bool mNodes = false;   ///< the nodes are told
-    // clang-tidy 14 takes the 0 of a rewritten comparison for a null pointer.
+    /// Number of the last crash record that the asking node knows.
+    int64_t mCrashes = 0;
+    bool mNodes = false;  ///< the answer names the nodes
+    // clang-tidy 14 mistakes the 0 of a rewritten comparison for a null
+    // pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     auto operator<=>(const AnswerKey&) const = default;
   };
 
-  /// This node has just read the store.
-  void NoteListed(Millis aAsked);
-  /// The candidate that tells this host its subset did not answer.
-  void PassOverTeller();
-  /// \return whom this node knows
+  /// Records that this node has just read the store.
+  void RecordListing(Millis aAsked);
+  /// Skips the candidate that sends this host its subset, as it did not answer.
+  void SkipSubsetSource();
+  /// \return which kinds of sources this node knows
   ViewContacts Contacts() const;
-  /// \return the question to a source, with the usage that it lacks
-  HttpRequest QuestionTo(ViewSource aSource, const std::string& aAddress);
-  /// \return the node to ask
+  /// \return the question to a source, with the usage counts that the lead
+  /// lacks
+  HttpRequest MakeQuestion(ViewSource aSource, const std::string& aAddress);
+  /// \return the address of the node to ask, if one is known
   std::optional<std::string> AddressOf(ViewSource aSource) const;
-  void NoteMiss(ViewSource aSource, const std::string& aAddress,
-                const Result<HttpResponse>& aAnswer);
-  asio::awaitable<std::optional<ViewUpdate>> Take(SharedView aView,
-                                                  Endpoint aFrom);
-  /// Takes in which nodes there are and who leads.
-  void TakeNodes(const SharedView& aView);
-  /// \return the candidate of the own zone that tells this host its subset;
+  /// Records that a source gave no usable answer, and selects the next one to
+  /// ask.
+  void HandleMiss(ViewSource aSource, const std::string& aAddress,
+                  const Result<HttpResponse>& aAnswer);
+  /// Applies an answer. Fetches the configuration if the answer names a newer
+  /// one.
+  asio::awaitable<std::optional<ViewUpdate>> ApplyView(SharedView aView,
+                                                       Endpoint aFrom);
+  /// Applies the nodes and the lead that an answer names.
+  void ApplyNodes(const SharedView& aView);
+  /// \return the candidate of this host's zone that sends it its subset;
   /// nothing if the lead is to be asked
-  std::optional<std::string> Teller() const;
+  std::optional<std::string> SubsetSource() const;
   bool Leads(const std::string& aAddress) const;
-  /// \return an answer that names a subset
+  /// \return an encoded answer with a subset of the replicas
   std::string SubsetText(const ViewQuestion& aQuestion, bool aNodes);
+  /// \return the subset of the replicas for the asking node, if it changed
   ReplicaDelta SubsetOf(const ViewQuestion& aQuestion) const;
-  /// Fills in what is the same in all answers.
-  void AddCommon(SharedView& aView, int64_t aCrashes, bool aNodes) const;
-  /// \return hosts that take clients; 0 while not all of them can have asked
-  size_t CountedHosts() const;
-  /// \return the fixed part of an answer, written down once
-  const std::string& Text(const AnswerKey& aKey);
+  /// Sets the fields that are the same in all answers.
+  void AddCommonFields(SharedView& aView, int64_t aCrashes, bool aNodes) const;
+  /// \return the number of entry hosts; 0 while some of them may not have asked
+  /// this node yet
+  size_t HostCount() const;
+  /// \return the part of an answer that is encoded once for all nodes with the
+  /// same key
+  const std::string& CachedAnswer(const AnswerKey& aKey);
   asio::awaitable<std::optional<ConfigText>> FetchConfig(Endpoint aFrom,
                                                          int64_t aRevision);
 
@@ -168,33 +188,38 @@
   LeadClaim& mLead;
   NodeDirectory& mNodes;
   ViewPlan mPlan;
-  ReplicaLog mLog;                        ///< what this node listed itself
-  ReplicaLog mLogWithoutWeights;          ///< the same without weight versions
-  const RegistryTable* mTable = nullptr;  ///< if there are very many replicas
-  bool mLargeTold = false;                ///< another node says so
-  size_t mTellerShift = 0;                ///< candidates that were passed over
-  Millis mTellerMissedAt;
-  ReplicaMirror mMirror;         ///< what another node told
-  bool mMirrorVersions = false;  ///< that names weight versions
+  ReplicaLog mReplicaLog;  ///< replicas that this node listed itself
+  ReplicaLog mReplicaLogWithoutVersions;  ///< the same without weight versions
+  /// Set if there are very many replicas.
+  const RegistryTable* mTable = nullptr;
+  /// Another node says that there are very many replicas.
+  bool mLargeReported = false;
+  size_t mSubsetSourceShift = 0;  ///< number of candidates to skip
+  Millis mSubsetSourceMissedAt;
+  ReplicaMirror mMirror;         ///< replicas of the last answer
+  bool mMirrorVersions = false;  ///< mMirror has weight versions
   std::optional<Millis> mListedAt;
-  Millis mListsSince;                 ///< without a pause
-  std::optional<Millis> mUnlistedAt;  ///< when the store last did not answer
+  Millis mListingSince;  ///< start of the listings without a long gap
+  /// When the store last failed to answer.
+  std::optional<Millis> mListingFailedAt;
   std::optional<Millis> mHelpAskedAt;
-  bool mLookedUp = false;  ///< this process has looked for the lead
-  std::string mLeadAsked;  ///< address of the lead asked last
-  size_t mHelper = 0;      ///< which of the candidates is asked
+  bool mLookedUp = false;  ///< this process has asked the store for the lead
+  std::string mLastLeadAddress;  ///< address of the lead that was asked last
+  size_t mHelperIndex = 0;       ///< selects the candidate to ask
   ConfigText mConfig;
-  /// Its text packed, once it is first asked for, for all H nodes that fetch
-  /// it: a tenth of the bytes of a configuration of a thousand routes.
+  /// mConfig's text, compressed at the first request for all H nodes that fetch
+  /// it: a tenth of the bytes for a configuration of a thousand routes.
   std::string mPackedConfig;
   bool mFollows = false;
-  std::map<AnswerKey, std::string> mTexts;  ///< answers to the present state
-  std::optional<LeadHolder> mTextsLead;     ///< the lead that they name
-  uint64_t mTextsNodes = 0;                 ///< tag of the nodes that they name
-  size_t mTextsHosts = 0;                   ///< number of hosts that they tell
-  int64_t mTextsCrashes =
-      0;  ///< number of the records of crashes that they hold
-  /// How far this node knows the records of crashes of the node told last.
+  /// Encoded answers for the present state.
+  std::map<AnswerKey, std::string> mCachedAnswers;
+  std::optional<LeadHolder> mCachedLead;  ///< the lead in mCachedAnswers
+  uint64_t mCachedNodesTag = 0;  ///< tag of the nodes in mCachedAnswers
+  size_t mCachedHostCount = 0;   ///< number of entry hosts in mCachedAnswers
+  /// Number of the last crash record in mCachedAnswers.
+  int64_t mCachedCrashNumber = 0;
+  /// Process identity of the node that answered last, and number of the last of
+  /// its crash records known here.
   std::string mCrashesRun;
   int64_t mCrashesNumber = 0;
 };
--- a/src/include/rillwall/weight_orders.h
+++ b/src/include/rillwall/weight_orders.h
@@ -1,10 +1,10 @@
 /// \file
-/// Moves the replicas of a model to the version that its trainer named.
+/// Loads the version that a model's trainer named on the replicas of the model.
 ///
 /// Only the holder of the lead claim gives orders. An order names the sequence
-/// number that the replica reported, so that one carried out late, after a
-/// newer one, is refused by the replica. What an unanswered order did is read
-/// back from the replica's report.
+/// number that the replica reported. A replica therefore refuses an order that
+/// arrives late, after a newer one. The effect of an order without an answer is
+/// read back from the replica's report.
 
 #pragma once
 
@@ -18,12 +18,13 @@
 
 namespace rillwall {
 
-/// What a replica says of itself.
+/// The state that a replica reports.
 struct ReplicaReport {
   std::vector<ModelVersion> mModels;
   bool mBusy = false;     ///< an order is being carried out
-  int64_t mSequence = 0;  ///< orders accepted since its start
+  int64_t mSequence = 0;  ///< orders accepted since the replica started
 
+  /// \return the version of a model that the replica serves
   int64_t VersionOf(std::string_view aModel) const;
 };
 
@@ -31,16 +32,17 @@
 struct VersionOrder {
   std::string mModel;
   int64_t mVersion = 0;
-  bool mCutRuns = false;  ///< end the running streams; else they finish first
+  /// End the running streams; otherwise they finish first.
+  bool mCutRuns = false;
   std::string mHolder;
   int64_t mFence = 0;
   int64_t mExpected = 0;  ///< the replica's sequence number before this order
 };
 
-/// How a replica took an order.
+/// A replica's answer to an order.
 enum class OrderOutcome { Started, AlreadyDone, Conflict, Fenced, Rejected };
 
-/// The control interface of replicas; one implementation for each platform.
+/// The control interface of replicas. Each platform has one implementation.
 class ReplicaControl {
  public:
   virtual ~ReplicaControl() = default;
@@ -49,18 +51,21 @@
                                                       VersionOrder aOrder) = 0;
 };
 
+/// Plans and sends the orders that bring replicas to their target versions.
 class WeightOrders {
  public:
   WeightOrders(NodeContext& aNode, LeadClaim& aLead, ReplicaControl& aControl);
 
-  /// A trainer named a version; older ones than known are ignored.
+  /// Sets the version that a trainer named as a model's target. Versions older
+  /// than the known target are ignored.
   void SetTargetVersion(const std::string& aModel, int64_t aVersion);
-  /// \return the newest named version of a model, 0 if none was named
+  /// \return the target version of a model, 0 if none was named
   int64_t TargetVersion(const std::string& aModel) const;
-  /// Takes a step in: its work adds to its model's demand.
+  /// Adds a step's work to its model's demand.
+  /// \param aWork tokens that the step is expected to generate
   void Observe(const RolloutSpec& aSpec, double aWork);
-  /// \return replicas that the named versions need, by service, and a quarter
-  /// more to choose from
+  /// \return by service, the number of replicas that the target versions need,
+  /// and a quarter more to choose from
   std::map<std::string, size_t> WantedReplicas() const;
   /// Gives orders until the node stops.
   asio::awaitable<void> Run();
@@ -68,28 +73,36 @@
   std::function<void()> mOnLoaded;
 
  private:
+  /// Starts the loads of a service that its plan selects.
   void StartLoads(const ServiceSpec& aService);
-  /// \return the models of a service that have a named version
+  /// \return the load targets of a service's models that have a target version
   std::vector<LoadTarget> TargetsOf(const ServiceSpec& aService) const;
-  /// \return how many of these load weights by an order of this node
+  /// \return how many of these replicas load weights by an order of this node
   size_t LoadingOf(const std::vector<const Replica*>& aReplicas) const;
+  /// \return the smoothed demand of a model, in expected tokens for each step
   double DemandOf(const std::string& aModel) const;
-  /// \return whether runs of the model must finish under their version
-  bool KeepsRuns(const std::string& aModel) const;
+  /// \return whether runs of the model must finish under the version that they
+  /// began with
+  bool MustFinishRuns(const std::string& aModel) const;
+  /// Orders one load and waits for its end.
   asio::awaitable<void> Load(Replica aReplica, LoadPick aPick);
+  /// Polls a replica until its load ends.
+  /// \return whether it serves the version
   asio::awaitable<bool> AwaitLoaded(Replica aReplica, std::string aModel,
                                     int64_t aVersion);
 
   NodeContext& mNode;
   LeadClaim& mLead;
   ReplicaControl& mControl;
-  std::map<std::string, int64_t> mNamed;
+  std::map<std::string, int64_t> mTargetVersions;
   std::map<std::string, double> mDemand;
   std::map<std::string, AllowedLag> mLags;  ///< by model
-  /// By service: a plan has just ordered nothing, and nothing has happened.
-  std::map<std::string, Millis> mQuietUntil;
-  std::map<std::string, int64_t> mTexts;  ///< of a step, the most, by model
-  std::map<std::string, ModelVersion> mLoading;  ///< by id of the replica
+  /// By service: until when no plan is made, as the last one ordered nothing
+  /// and nothing has changed since.
+  std::map<std::string, Millis> mPlanPausedUntil;
+  /// Most texts of one step, by model.
+  std::map<std::string, int64_t> mMaxTexts;
+  std::map<std::string, ModelVersion> mLoading;  ///< by replica id
 };
 
 }  // namespace rillwall
--- a/src/librillwall_rollout/admission.cpp
+++ b/src/librillwall_rollout/admission.cpp
@@ -8,7 +8,8 @@
 
 constexpr char kAuthorization[] = "Authorization";
 constexpr std::string_view kScheme = "Bearer ";
-/// Another host may know the key; a client that is sent away comes back there.
+/// Retry-After for an unknown key: a retry may reach another host that knows
+/// it.
 constexpr Millis kComeBack{200};
 
 /// \return the key in the Authorization header; empty if there is none
--- a/src/librillwall_rollout/crash_guard.cpp
+++ b/src/librillwall_rollout/crash_guard.cpp
@@ -9,13 +9,15 @@
 
 namespace {
 
-/// Of what a request asked for, in a record: enough to recognize a route.
-constexpr size_t kMaxWhat = 120;
-/// News told line by line; more of them are told as one line.
-constexpr size_t kLinesOfNews = 12;
+/// Longest request description in a record: enough to recognize the route.
+constexpr size_t kMaxDescriptionBytes = 120;
+/// Up to this many new records are logged one by one; more are logged as one
+/// line.
+constexpr size_t kMaxLoggedRecords = 12;
 
-/// \return the name of one start of a replica: it may keep its id
-std::string StartOf(const Replica& aReplica) {
+/// \return an identity of one start of a replica, as a replica may keep its id
+/// when it restarts
+std::string ReplicaIncarnation(const Replica& aReplica) {
   return aReplica.mBorn == 0
              ? aReplica.mId
              : aReplica.mId + '@' + std::to_string(aReplica.mBorn);
@@ -39,8 +41,8 @@
 
 }  // namespace
 
-std::optional<Error> RefusalIfHeld(const NodeContext& aNode,
-                                   const RequestDigest& aRequest) {
+std::optional<Error> ErrorIfHeld(const NodeContext& aNode,
+                                 const RequestDigest& aRequest) {
   const Millis left = aNode.mCrashes.HeldFor(aRequest, aNode.mTimeOfDay());
   if (left == Millis(0)) {
     return std::nullopt;
@@ -54,31 +56,32 @@
 }
 
 std::string DescribeRequest(const RequestParts& aParts) {
-  std::string what(aParts.mMethod);
-  what += ' ';
-  what += aParts.mHost;
-  what += aParts.mTarget;
-  what.resize(std::min(what.size(), kMaxWhat));
-  return what;
+  std::string description(aParts.mMethod);
+  description += ' ';
+  description += aParts.mHost;
+  description += aParts.mTarget;
+  description.resize(std::min(description.size(), kMaxDescriptionBytes));
+  return description;
 }
 
-void BlameRequest(NodeContext& aNode, const RequestDigest& aRequest,
-                  const Replica& aReplica, std::string_view aId,
-                  std::string aWhat) {
-  const CrashRecord record{aRequest, StartOf(aReplica), aNode.mTimeOfDay(),
-                           false, std::move(aWhat)};
+void RecordCrash(NodeContext& aNode, const RequestDigest& aRequest,
+                 const Replica& aReplica, std::string_view aId,
+                 std::string aDescription) {
+  const CrashRecord record{aRequest, ReplicaIncarnation(aReplica),
+                           aNode.mTimeOfDay(), false, std::move(aDescription)};
   if (aNode.mCrashes.Blame(record)) {
     aNode.mMetrics.Count("crash_records_total", "outcome=\"suspected\"");
     LogRecord(aNode, record, aId, "here");
   }
 }
 
-asio::awaitable<bool> BlameIfEnded(NodeContext& aNode, RequestDigest aRequest,
-                                   Replica aReplica, std::string aId,
-                                   std::string aWhat) {
+asio::awaitable<bool> RecordCrashIfEnded(NodeContext& aNode,
+                                         RequestDigest aRequest,
+                                         Replica aReplica, std::string aId,
+                                         std::string aDescription) {
   const bool ended = co_await ReplicaEnded(aNode, aReplica.mAddress);
   if (ended) {
-    BlameRequest(aNode, aRequest, aReplica, aId, std::move(aWhat));
+    RecordCrash(aNode, aRequest, aReplica, aId, std::move(aDescription));
   }
   co_return ended;
 }
@@ -96,19 +99,20 @@
   LogRecord(aNode, record, aId, "here");
 }
 
-void TakeCrashNews(NodeContext& aNode, const std::vector<CrashRecord>& aRecords,
-                   std::string_view aFrom) {
-  const std::vector<CrashRecord> news = aNode.mCrashes.Merge(aRecords);
+void MergeCrashRecords(NodeContext& aNode,
+                       const std::vector<CrashRecord>& aRecords,
+                       std::string_view aFrom) {
+  const std::vector<CrashRecord> added = aNode.mCrashes.Merge(aRecords);
   aNode.mCrashes.Forget(aNode.mTimeOfDay());
-  if (news.size() > kLinesOfNews) {
+  if (added.size() > kMaxLoggedRecords) {
     Event("crash-news")
-        .Number("records", static_cast<int64_t>(news.size()))
+        .Number("records", static_cast<int64_t>(added.size()))
         .Number("known", static_cast<int64_t>(aNode.mCrashes.Size()))
         .Text("from", aFrom)
         .Write();
     return;
   }
-  for (const CrashRecord& record : news) {
+  for (const CrashRecord& record : added) {
     LogRecord(aNode, record, {}, aFrom);
   }
 }
--- a/src/librillwall_rollout/crash_guard.h
+++ b/src/librillwall_rollout/crash_guard.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the serving path asks and tells of requests that end replicas
-/// (CrashTable), with its log lines and counters.
+/// Checks requests against the crash records (CrashTable), and adds records
+/// with their log lines and counters.
 
 #pragma once
 
@@ -13,36 +13,40 @@
 
 namespace rillwall {
 
-/// \return an error that refuses a request if it is held, with the time to come
-/// back; it says that the request was not run
-std::optional<Error> RefusalIfHeld(const NodeContext& aNode,
-                                   const RequestDigest& aRequest);
+/// \return an error that refuses the request if it is held, with the remaining
+/// time as Retry-After and RunState::NotRun; else nothing
+std::optional<Error> ErrorIfHeld(const NodeContext& aNode,
+                                 const RequestDigest& aRequest);
 
-/// A replica closed the connection under a request before its answer was whole.
-/// Finds out whether it has ended, and holds that against the request.
+/// Handles a replica that closed the connection under a request before its
+/// response was whole: checks whether the replica's process has ended, and if
+/// so records the crash.
 /// \param aId identity of the attempt, for the log
-/// \param aWhat the request as DescribeRequest() gives it
-/// \return whether it has ended
-asio::awaitable<bool> BlameIfEnded(NodeContext& aNode, RequestDigest aRequest,
-                                   Replica aReplica, std::string aId,
-                                   std::string aWhat);
-
-/// A replica ended under a request that this host sent there.
-/// Its parameters are those of BlameIfEnded().
-void BlameRequest(NodeContext& aNode, const RequestDigest& aRequest,
-                  const Replica& aReplica, std::string_view aId,
-                  std::string aWhat);
-/// \return method, host and path, for operators
+/// \param aDescription the request as DescribeRequest() gives it
+/// \return whether the replica has ended
+asio::awaitable<bool> RecordCrashIfEnded(NodeContext& aNode,
+                                         RequestDigest aRequest,
+                                         Replica aReplica, std::string aId,
+                                         std::string aDescription);
+
+/// Records that a replica ended under a request that this host sent there. The
+/// parameters are those of RecordCrashIfEnded().
+void RecordCrash(NodeContext& aNode, const RequestDigest& aRequest,
+                 const Replica& aReplica, std::string_view aId,
+                 std::string aDescription);
+/// \return method, host and path of a request, for operators
 std::string DescribeRequest(const RequestParts& aParts);
 
-/// A replica has answered a request, and so has lived through it.
+/// Clears a request's crash records, as a replica has answered it and survived
+/// it.
 void ClearRequest(NodeContext& aNode, const RequestDigest& aRequest,
                   std::string_view aId);
 
-/// Takes in records that another host told or the store holds, and logs what
-/// is new.
-/// \param aFrom whom they are from, for the log
-void TakeCrashNews(NodeContext& aNode, const std::vector<CrashRecord>& aRecords,
-                   std::string_view aFrom);
+/// Merges records that another host told or that the store holds, and logs the
+/// new ones.
+/// \param aFrom source of the records, for the log
+void MergeCrashRecords(NodeContext& aNode,
+                       const std::vector<CrashRecord>& aRecords,
+                       std::string_view aFrom);
 
 }  // namespace rillwall
--- a/src/librillwall_rollout/crash_sync.cpp
+++ b/src/librillwall_rollout/crash_sync.cpp
@@ -13,28 +13,31 @@
 
 using asio::experimental::awaitable_operators::operator||;
 
-/// Records of one replica's end come within some ms and go in one change.
-constexpr Millis kGather{5};
-/// Cleared ones harm nobody while they are not held, and come one by one as the
-/// texts end that ran at a replica: a call for each would be paid for.
-constexpr Millis kGatherCleared{1000};
-/// As many keys as one change of the store takes.
-constexpr size_t kRecordsAtOnce = 32;
-/// Before records that the store did not take are sent again.
-constexpr Millis kFirstPause{100};
-constexpr Millis kLongestPause{500};
-/// A watch that hangs on a connection that has gone silent is noticed after
-/// this and the margin: half of the time that news may take.
+/// The records of one replica's end arrive within a few ms and are written as
+/// one change.
+constexpr Millis kBatchDelay{5};
+/// Records of cleared requests are not urgent while the requests are not held.
+/// They arrive one by one as the texts that ran at a replica end, and a store
+/// call for each would be paid for.
+constexpr Millis kClearedBatchDelay{1000};
+/// The store takes this many keys in one change.
+constexpr size_t kMaxRecordsPerChange = 32;
+/// Pauses before records are written again after a failure.
+constexpr Millis kFirstWritePause{100};
+constexpr Millis kLongestWritePause{500};
+/// A watch that hangs on a silent connection is ended after this time and the
+/// margin, which is half of the time that a record may take to spread.
 constexpr Millis kWatchWait{1500};
 constexpr Millis kWatchMargin{300};
-/// Until somebody may ask this host.
-constexpr Millis kIdle{1000};
-/// After a list or a watch that failed. Calls to a store that is away are paid
-/// for; the first pause is short, as a watch may be cut alone.
+/// How often to check whether other hosts ask this host.
+constexpr Millis kIdlePoll{1000};
+/// Pauses after a failed list or watch. Calls to a store that does not answer
+/// are paid for; the first pause is short, as only the watch may have been cut.
 constexpr Millis kFirstReadPause{200};
 constexpr Millis kLongestReadPause{1000};
 
-/// Adds what a key holds. One that can't be read is left out, and logged.
+/// Adds the record that a key holds. A record that cannot be decoded is skipped
+/// and logged.
 void AddDecoded(const StoreItem& aItem, std::vector<CrashRecord>& aRecords) {
   const Result<CrashRecord> record = DecodeCrash(aItem.mValue);
   if (record) {
@@ -57,9 +60,9 @@
 
 }  // namespace
 
-CrashSync::CrashSync(NodeContext& aNode, std::function<bool()> aTellsOthers)
+CrashSync::CrashSync(NodeContext& aNode, std::function<bool()> aServesOthers)
     : mNode(aNode),
-      mTellsOthers(std::move(aTellsOthers)),
+      mServesOthers(std::move(aServesOthers)),
       mSaveWake(aNode.mIo),
       mFollowWake(aNode.mIo) {
   mNode.mCrashes.mOnOwnNews = [this] { mSaveWake.cancel(); };
@@ -70,15 +73,15 @@
   int failures = 0;
   while (true) {
     const std::vector<CrashRecord> records =
-        mNode.mCrashes.Unsaved(kRecordsAtOnce);
+        mNode.mCrashes.Unsaved(kMaxRecordsPerChange);
     const bool urgent = mNode.mCrashes.UnsavedIsUrgent();
-    if (records.empty() || !(urgent || mGathered)) {
-      mGathered = !records.empty();
-      co_await WaitOnTimer(mSaveWake, kGatherCleared);
-      co_await Sleep(mNode.mIo, kGather);
+    if (records.empty() || !(urgent || mClearedDelayed)) {
+      mClearedDelayed = !records.empty();
+      co_await WaitOnTimer(mSaveWake, kClearedBatchDelay);
+      co_await Sleep(mNode.mIo, kBatchDelay);
       continue;
     }
-    mGathered = false;
+    mClearedDelayed = false;
     StoreChange change;
     for (const CrashRecord& record : records) {
       change.mPuts.push_back({CrashKey(record), EncodeCrash(record), 0});
@@ -90,13 +93,15 @@
       mNode.mCrashes.Saved(records);
       continue;
     }
-    // A change that may have been made is the same when it is made again.
+    // The change may have been applied; applying it again has no further
+    // effect.
     ++failures;
     Event("crash-unsaved")
         .Number("records", static_cast<int64_t>(records.size()))
         .Text("why", done ? "not applied" : done.error().Detail())
         .Write();
-    const Millis pause = FailurePause(failures, kFirstPause, kLongestPause);
+    const Millis pause =
+        FailurePause(failures, kFirstWritePause, kLongestWritePause);
     co_await Sleep(mNode.mIo, mJitter.HalfToAll(pause));
   }
 }
@@ -106,17 +111,17 @@
   if (!list) {
     co_return list.error();
   }
-  TakeCrashNews(mNode, RecordsOf(*list), "store");
+  MergeCrashRecords(mNode, RecordsOf(*list), "store");
   co_return list->mRevision;
 }
 
-asio::awaitable<bool> CrashSync::FollowOnce() {
+asio::awaitable<bool> CrashSync::WatchFromNewRead() {
   const Result<int64_t> read = co_await Read();
   if (!read) {
     co_return false;
   }
   int64_t revision = *read;
-  while (mTellsOthers()) {
+  while (mServesOthers()) {
     const auto seen =
         co_await (mNode.mStore.Watch(CrashPrefix(), revision, kWatchWait) ||
                   WaitOnTimer(mFollowWake, kWatchWait + kWatchMargin));
@@ -130,7 +135,7 @@
         AddDecoded(event.mItem, records);
       }
     }
-    TakeCrashNews(mNode, records, "store");
+    MergeCrashRecords(mNode, records, "store");
     revision = std::max(revision, (*events)->mRevision);
   }
   co_return true;
@@ -139,11 +144,11 @@
 asio::awaitable<void> CrashSync::Follow() {
   int failures = 0;
   while (true) {
-    if (!mTellsOthers()) {
-      co_await WaitOnTimer(mFollowWake, kIdle);
+    if (!mServesOthers()) {
+      co_await WaitOnTimer(mFollowWake, kIdlePoll);
       continue;
     }
-    const bool read = co_await FollowOnce();
+    const bool read = co_await WatchFromNewRead();
     failures = read ? 0 : failures + 1;
     if (!read) {
       const Millis pause =
@@ -158,7 +163,8 @@
   if (!list) {
     co_return;
   }
-  // What a table would keep is kept: the young ones, within its bound.
+  // Keeps the records that a crash table would keep: young ones, up to its
+  // limit.
   CrashTable table;
   table.Merge(RecordsOf(*list));
   table.Forget(mNode.mTimeOfDay());
@@ -168,12 +174,13 @@
   }
   StoreChange change;
   for (const StoreItem& item : list->mItems) {
-    if (!kept.contains(item.mKey) && change.mRemoves.size() < kRecordsAtOnce) {
+    if (!kept.contains(item.mKey) &&
+        change.mRemoves.size() < kMaxRecordsPerChange) {
       change.mRemoves.push_back(item.mKey);
     }
   }
   if (!change.mRemoves.empty()) {
-    // The rest goes with the next sweep.
+    // The remaining keys are removed by later sweeps.
     co_await mNode.mStore.Commit(std::move(change));
   }
 }
--- a/src/librillwall_rollout/crash_sync_test.cpp
+++ b/src/librillwall_rollout/crash_sync_test.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// Tests of how hosts share what they know of requests that end replicas, by
-/// the store in memory.
+/// Tests of sharing crash records among hosts, with an in-memory store.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -12,41 +11,41 @@
 
 class CrashSyncTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CrashSyncTest);
-  CPPUNIT_TEST(OtherHostsLearnThroughTheStore);
-  CPPUNIT_TEST(NewFollowerLearnsWhatWasBefore);
-  CPPUNIT_TEST(ThreeHostsWithOneEndEachHold);
-  CPPUNIT_TEST(NewsOutlivesAnOutage);
-  CPPUNIT_TEST(LostAnswerIsWrittenAgain);
-  CPPUNIT_TEST(ClearedIsLearntToo);
-  CPPUNIT_TEST(CalmHostCallsNothing);
-  CPPUNIT_TEST(WatchThatHangsIsLeft);
-  CPPUNIT_TEST(BrokenRecordIsPassedOver);
-  CPPUNIT_TEST(SweepRemovesTheOld);
+  CPPUNIT_TEST(RecordsSpreadThroughTheStore);
+  CPPUNIT_TEST(NewWatcherReadsExistingRecords);
+  CPPUNIT_TEST(CrashesSeenByThreeHostsHoldTheRequest);
+  CPPUNIT_TEST(RecordIsWrittenAfterAnOutage);
+  CPPUNIT_TEST(UncertainWriteIsRepeated);
+  CPPUNIT_TEST(ClearedRecordsSpread);
+  CPPUNIT_TEST(IdleHostMakesNoStoreCalls);
+  CPPUNIT_TEST(WakeRestartsAHangingWatch);
+  CPPUNIT_TEST(UndecodableRecordIsSkipped);
+  CPPUNIT_TEST(SweepRemovesExpiredRecords);
   CPPUNIT_TEST_SUITE_END();
 
   /// A host's process.
   struct Host {
-    Host(TestWorld& aWorld, const std::string& aRun, bool aTells)
-        : mTest(aWorld, aRun), mTells(aTells) {
+    Host(TestWorld& aWorld, const std::string& aRun, bool aServesOthers)
+        : mTest(aWorld, aRun), mServesOthers(aServesOthers) {
       Launch(mTest.mIo, "save", mSync.Save());
       Launch(mTest.mIo, "follow", mSync.Follow());
     }
     CrashTable& Crashes() { return mTest.mNode.mCrashes; }
     TestNode mTest;
-    bool mTells;
-    CrashSync mSync{mTest.mNode, [this] { return mTells; }};
+    bool mServesOthers;
+    CrashSync mSync{mTest.mNode, [this] { return mServesOthers; }};
   };
 
   TestWorld mWorld;
 
-  static RequestDigest Named(const std::string& aName) {
+  static RequestDigest DigestOf(const std::string& aName) {
     return RequestDigest(RequestParts{"POST", "h", aName, "", ""});
   }
   static CrashRecord Record(const std::string& aRequest,
                             const std::string& aReplica) {
-    return {Named(aRequest), aReplica, WallClockMs(), false, "POST h"};
+    return {DigestOf(aRequest), aReplica, WallClockMs(), false, "POST h"};
   }
-  /// Runs hosts in turn until something holds.
+  /// Runs two hosts in turn until a condition holds.
   template <class Condition>
   static void RunUntil(Host& aOne, Host& aOther, Condition aCondition) {
     aOne.mTest.RunUntil([&] {
@@ -56,19 +55,19 @@
     });
   }
 
-  void OtherHostsLearnThroughTheStore() {
-    Host seer(mWorld, "seer", false);
+  void RecordsSpreadThroughTheStore() {
+    Host observer(mWorld, "seer", false);
     Host lead(mWorld, "lead", true);
-    seer.Crashes().Blame(Record("/p", "r1"));
-    RunUntil(seer, lead, [&] { return lead.Crashes().AnySuspect(); });
+    observer.Crashes().Blame(Record("/p", "r1"));
+    RunUntil(observer, lead, [&] { return lead.Crashes().AnySuspect(); });
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mWorld.mStore.CountOf(CrashPrefix()));
-    seer.Crashes().Blame(Record("/p", "r2"));
-    RunUntil(seer, lead,
-             [&] { return lead.Crashes().Crashes(Named("/p")) == 2; });
+    observer.Crashes().Blame(Record("/p", "r2"));
+    RunUntil(observer, lead,
+             [&] { return lead.Crashes().Crashes(DigestOf("/p")) == 2; });
     CPPUNIT_ASSERT(lead.Crashes().Unsaved(9).empty());
   }
 
-  void NewFollowerLearnsWhatWasBefore() {
+  void NewWatcherReadsExistingRecords() {
     for (const char* replica : {"r1", "r2", "r3"}) {
       const CrashRecord record = Record("/p", replica);
       mWorld.mStore.Write(CrashKey(record), EncodeCrash(record));
@@ -76,12 +75,12 @@
     Host lead(mWorld, "lead", false);
     lead.mTest.RunFor(Millis(20));
     CPPUNIT_ASSERT(!lead.Crashes().AnySuspect());
-    lead.mTells = true;
+    lead.mServesOthers = true;
     lead.mSync.Wake();
-    lead.mTest.RunUntil([&] { return lead.Crashes().Held(Named("/p")); });
+    lead.mTest.RunUntil([&] { return lead.Crashes().Held(DigestOf("/p")); });
   }
 
-  void ThreeHostsWithOneEndEachHold() {
+  void CrashesSeenByThreeHostsHoldTheRequest() {
     Host one(mWorld, "one", false);
     Host other(mWorld, "other", false);
     Host lead(mWorld, "lead", true);
@@ -91,47 +90,48 @@
     RunUntil(one, other, [&] {
       lead.mTest.mIo.poll();
       lead.mTest.mIo.restart();
-      return lead.Crashes().Held(Named("/p"));
+      return lead.Crashes().Held(DigestOf("/p"));
     });
-    CPPUNIT_ASSERT(!one.Crashes().Held(Named("/p")));
+    CPPUNIT_ASSERT(!one.Crashes().Held(DigestOf("/p")));
   }
 
-  void NewsOutlivesAnOutage() {
-    Host seer(mWorld, "seer", false);
+  void RecordIsWrittenAfterAnOutage() {
+    Host observer(mWorld, "seer", false);
     mWorld.mStore.mDown = true;
-    seer.Crashes().Blame(Record("/p", "r1"));
-    seer.mTest.RunFor(Millis(300));
+    observer.Crashes().Blame(Record("/p", "r1"));
+    observer.mTest.RunFor(Millis(300));
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mWorld.mStore.CountOf(CrashPrefix()));
     mWorld.mStore.mDown = false;
-    seer.mTest.RunUntil(
+    observer.mTest.RunUntil(
         [&] { return mWorld.mStore.CountOf(CrashPrefix()) == 1; });
   }
 
-  void LostAnswerIsWrittenAgain() {
-    Host seer(mWorld, "seer", false);
+  void UncertainWriteIsRepeated() {
+    Host observer(mWorld, "seer", false);
     mWorld.mStore.mFaults = {StoreFault::LostDropped, StoreFault::LostApplied};
-    seer.Crashes().Blame(Record("/p", "r1"));
-    seer.mTest.RunUntil([&] { return seer.Crashes().Unsaved(9).empty(); });
+    observer.Crashes().Blame(Record("/p", "r1"));
+    observer.mTest.RunUntil(
+        [&] { return observer.Crashes().Unsaved(9).empty(); });
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mWorld.mStore.CountOf(CrashPrefix()));
   }
 
-  void ClearedIsLearntToo() {
-    Host seer(mWorld, "seer", false);
+  void ClearedRecordsSpread() {
+    Host observer(mWorld, "seer", false);
     Host lead(mWorld, "lead", true);
-    seer.Crashes().Blame(Record("/p", "r1"));
-    RunUntil(seer, lead, [&] { return lead.Crashes().AnySuspect(); });
-    seer.Crashes().Clear(Named("/p"));
-    RunUntil(seer, lead, [&] { return !lead.Crashes().AnySuspect(); });
+    observer.Crashes().Blame(Record("/p", "r1"));
+    RunUntil(observer, lead, [&] { return lead.Crashes().AnySuspect(); });
+    observer.Crashes().Clear(DigestOf("/p"));
+    RunUntil(observer, lead, [&] { return !lead.Crashes().AnySuspect(); });
   }
 
-  void CalmHostCallsNothing() {
+  void IdleHostMakesNoStoreCalls() {
     Host host(mWorld, "host", false);
     host.mTest.RunFor(Millis(100));
     CPPUNIT_ASSERT(StoreCounts() == mWorld.mStore.Counts());
   }
 
-  // Records that a watch missed are read when it is begun anew.
-  void WatchThatHangsIsLeft() {
+  // Records that a watch missed are read when it is restarted.
+  void WakeRestartsAHangingWatch() {
     Host lead(mWorld, "lead", true);
     lead.mTest.RunUntil([&] { return mWorld.mStore.Counts().mWatches == 1; });
     lead.mSync.Wake();
@@ -139,7 +139,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, mWorld.mStore.Counts().mReads);
   }
 
-  void BrokenRecordIsPassedOver() {
+  void UndecodableRecordIsSkipped() {
     const CrashRecord record = Record("/p", "r1");
     mWorld.mStore.Write(CrashPrefix() + "0/broken", "{");
     mWorld.mStore.Write(CrashKey(record), EncodeCrash(record));
@@ -147,7 +147,7 @@
     lead.mTest.RunUntil([&] { return lead.Crashes().AnySuspect(); });
   }
 
-  void SweepRemovesTheOld() {
+  void SweepRemovesExpiredRecords() {
     CrashRecord old = Record("/old", "r1");
     old.mAtMs -= CrashTable::kRememberFor.Count() + 1000;
     const CrashRecord young = Record("/young", "r1");
--- a/src/librillwall_rollout/item_hold_test.cpp
+++ b/src/librillwall_rollout/item_hold_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of items and scorers that end the replicas which run them.
+/// Tests of items and scorer calls that end the replicas that run them.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -10,11 +10,11 @@
 
 class ItemHoldTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ItemHoldTest);
-  CPPUNIT_TEST(ItemThatEndsReplicasIsBlamed);
-  CPPUNIT_TEST(TextThatIsUnderWayIsNotBlamed);
-  CPPUNIT_TEST(HeldItemIsSetAside);
+  CPPUNIT_TEST(CrashIsRecordedForTheItem);
+  CPPUNIT_TEST(CrashDuringALongRunIsNotRecorded);
+  CPPUNIT_TEST(HeldItemIsDeferred);
   CPPUNIT_TEST(ClearedItemRuns);
-  CPPUNIT_TEST(WholeTextClears);
+  CPPUNIT_TEST(CompletedItemIsCleared);
   CPPUNIT_TEST(HeldScorerIsNotCalled);
   CPPUNIT_TEST_SUITE_END();
 
@@ -41,7 +41,7 @@
   }
 
  private:
-  /// A step of two items, "bad" and "good".
+  /// \return a step with two items, "bad" and "good"
   static RolloutSpec Spec() {
     RolloutSpec spec;
     spec.mId = "s1";
@@ -63,7 +63,7 @@
     return RequestDigest(RequestParts{"POST", "h", "/r/x", "", aBody});
   }
   CrashTable& Crashes() { return mTest.mNode.mCrashes; }
-  void Tell(const RequestDigest& aRequest, int aReplicas) {
+  void AddCrashes(const RequestDigest& aRequest, int aReplicas) {
     for (int i = 0; i < aReplicas; ++i) {
       Crashes().Merge(
           {{aRequest, "r" + std::to_string(i), WallClockMs(), false, ""}});
@@ -87,8 +87,8 @@
     return results;
   }
 
-  void ItemThatEndsReplicasIsBlamed() {
-    mEngine.mOtherwise.mEnds = true;
+  void CrashIsRecordedForTheItem() {
+    mEngine.mDefaultScript.mProcessEnds = true;
     Accept();
     mTest.RunUntil([&] { return Crashes().AnySuspect(); });
     CPPUNIT_ASSERT(Crashes().Crashes(ItemDigest("bad")) +
@@ -96,7 +96,7 @@
                    0);
   }
 
-  void TextThatIsUnderWayIsNotBlamed() {
+  void CrashDuringALongRunIsNotRecorded() {
     mEngine.mEvents = 100000;
     Accept();
     mTest.RunFor(Millis(200));
@@ -105,33 +105,34 @@
     CPPUNIT_ASSERT(!Crashes().AnySuspect());
   }
 
-  void HeldItemIsSetAside() {
-    Tell(ItemDigest("bad"), 3);
+  void HeldItemIsDeferred() {
+    AddCrashes(ItemDigest("bad"), 3);
     Accept();
     CPPUNIT_ASSERT_EQUAL(std::string("good"), Listed(1)[0].mItem);
     mTest.RunFor(Millis(300));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mEngine.mRequests.size());
-    // It is not given up before its time.
+    // The held item is not given up before its time.
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Results().size());
   }
 
   void ClearedItemRuns() {
-    Tell(ItemDigest("bad"), 3);
+    AddCrashes(ItemDigest("bad"), 3);
     Accept();
     Listed(1);
     Crashes().Clear(ItemDigest("bad"));
     CPPUNIT_ASSERT_EQUAL(std::string("bad"), Listed(2)[1].mItem);
   }
 
-  void WholeTextClears() {
-    Tell(ItemDigest("bad"), 2);
+  void CompletedItemIsCleared() {
+    AddCrashes(ItemDigest("bad"), 2);
     Accept();
     Listed(2);
     CPPUNIT_ASSERT(!Crashes().AnySuspect());
   }
 
   void HeldScorerIsNotCalled() {
-    Tell(RequestDigest(RequestParts{"POST", "h", "/score/", "", "bad"}), 3);
+    AddCrashes(RequestDigest(RequestParts{"POST", "h", "/score/", "", "bad"}),
+               3);
     Accept();
     CPPUNIT_ASSERT_EQUAL(std::string("good"), Listed(1)[0].mItem);
     mTest.RunFor(Millis(300));
--- a/src/librillwall_rollout/item_run.cpp
+++ b/src/librillwall_rollout/item_run.cpp
@@ -12,17 +12,18 @@
 
 namespace {
 
-/// Longest wait for a stream's head: a full replica queues, a crashed one is
-/// silent.
-constexpr Millis kHeadLimit{2000};
+/// Longest wait for a stream's head: a full replica queues requests, and a
+/// crashed one is silent.
+constexpr Millis kHeadTimeout{2000};
 /// Longest pause between two events. Events take some 40 ms each, four times
 /// that on a slowed replica.
-constexpr Millis kEventLimit{1200};
-/// A replica whose weights are older than it was listed with.
-constexpr Millis kOldWeightsPause{300};
-/// A request that ends replicas does so as it begins: a run that has brought so
-/// many events is ended by something else. Texts have 23 on average.
-constexpr int64_t kBegunEvents = 8;
+constexpr Millis kEventTimeout{1200};
+/// Pause of a model at a replica whose weights are older than listed.
+constexpr Millis kStaleWeightsPause{300};
+/// A request that ends replicas does so as it begins. After this many events a
+/// run is considered survived, and a later end has another cause. Texts have 23
+/// events on average.
+constexpr int64_t kSurvivalEvents = 8;
 constexpr int kOk = 200;
 constexpr int kMisdirected = 421;
 constexpr int kUnprocessable = 422;
@@ -37,7 +38,8 @@
   return {"POST", spec.mHost, item.mPath, spec.mAccount, item.mBody};
 }
 
-/// \return what the item is, whichever step asks for it
+/// \return the digest of an item, which is the same in every step that contains
+/// it
 const RequestDigest& DigestOf(RolloutStep& aStep, size_t aItem) {
   const auto known = aStep.mDigests.find(aItem);
   return known != aStep.mDigests.end()
@@ -72,17 +74,17 @@
   return request;
 }
 
-/// Takes events in, in order, each once.
-class EventIntake {
+/// Reads events into a text, in order and each once.
+class EventReader {
  public:
-  EventIntake(const NodeContext& aNode, RolloutText& aText, int64_t aVersion)
+  EventReader(const NodeContext& aNode, RolloutText& aText, int64_t aVersion)
       : mVersionName(aNode.mHeaders.mWeightVersion),
         mText(aText),
         mVersion(aVersion) {}
 
   int64_t Version() const { return mVersion; }
 
-  /// \return what is wrong with the stream, or nothing
+  /// \return the fault of the stream, or an empty string
   std::string Feed(const std::string& aPart) {
     if (mParser.Feed(aPart)) {
       return "an event is too large";
@@ -110,8 +112,9 @@
   SseParser mParser;
 };
 
-/// Judges a stream's head. \return Whole if the stream may be read
-ItemRunEnd JudgeHead(NodeContext& aNode, RolloutStep& aStep, size_t aItem,
+/// Checks a stream's head.
+/// \return Whole if the stream may be read, else how the run ended
+ItemRunEnd CheckHead(NodeContext& aNode, RolloutStep& aStep, size_t aItem,
                      const HttpResponse& aHead, std::string& aWhy) {
   const HeaderNames& names = aNode.mHeaders;
   aWhy = "status " + std::to_string(aHead.mStatus);
@@ -129,7 +132,7 @@
   return aHead.mStatus == kOk ? ItemRunEnd::Whole : ItemRunEnd::Failed;
 }
 
-/// \return whether text of this version may be added
+/// \return whether text of this version may be appended
 bool VersionFits(const RolloutStep& aStep, const RolloutText& aText,
                  int64_t aVersion) {
   if (aVersion < aStep.mBook.Spec().mMinVersion) {
@@ -140,10 +143,11 @@
   return !(aStep.mRoute.mSingleVersion && other);
 }
 
-/// Checks the version that a stream begins with.
-/// \return whether its events may be added
-bool TakeVersion(NodeContext& aNode, RolloutStep& aStep, size_t aItem,
-                 const Replica& aReplica, int64_t aVersion) {
+/// Checks the version that a stream begins with, and records it for the
+/// replica.
+/// \return whether the stream's events may be appended
+bool AcceptVersion(NodeContext& aNode, RolloutStep& aStep, size_t aItem,
+                   const Replica& aReplica, int64_t aVersion) {
   const std::string& model = aStep.mBook.Spec().mModel;
   aNode.mReplicas.Learn(aReplica.mId, model, aVersion);
   RolloutText& text = aStep.mBook.Text(aItem);
@@ -151,14 +155,14 @@
     return true;
   }
   aNode.mReplicas.PauseModel(aReplica.mId, model,
-                             aNode.Now() + kOldWeightsPause);
+                             aNode.Now() + kStaleWeightsPause);
   if (aStep.mRoute.mSingleVersion) {
     text = RolloutText();
   }
   return false;
 }
 
-/// Measures a replica's pace by the events that one part brought.
+/// Measures a replica's pace by the events that one read delivered.
 void ObservePace(NodeContext& aNode, const std::string& aReplica,
                  int64_t aEvents, Millis& aLastAt) {
   const Millis now = aNode.Now();
@@ -176,30 +180,30 @@
                                                     : ItemRunEnd::Broken;
 }
 
-/// Takes events in until the stream ends.
-asio::awaitable<ItemRunEnd> TakeEvents(NodeContext& aNode, RolloutStep& aStep,
+/// Reads events until the stream ends.
+asio::awaitable<ItemRunEnd> ReadEvents(NodeContext& aNode, RolloutStep& aStep,
                                        size_t aItem, const Replica& aReplica,
                                        HttpStream& aStream, int64_t aVersion,
                                        std::string& aWhy) {
   RolloutText& text = aStep.mBook.Text(aItem);
-  EventIntake intake(aNode, text, aVersion);
+  EventReader reader(aNode, text, aVersion);
   Millis lastAt;
   while (true) {
     const int64_t before = text.mEvents;
-    const Result<std::string> part = co_await aStream.Read(kEventLimit);
+    const Result<std::string> part = co_await aStream.Read(kEventTimeout);
     if (!aStep.mRunning) {
       co_return ItemRunEnd::Stopped;
     }
     if (!part) {
-      const auto moving = aStep.mMoving.find(aItem);
-      const bool moved = moving != aStep.mMoving.end();
+      const auto moving = aStep.mMoveReasons.find(aItem);
+      const bool moved = moving != aStep.mMoveReasons.end();
       aWhy = moved ? moving->second : part.error().Detail();
       co_return moved ? ItemRunEnd::Moved : EndOf(part.error());
     }
     if (part->empty()) {
       co_return ItemRunEnd::Whole;
     }
-    aWhy = intake.Feed(*part);
+    aWhy = reader.Feed(*part);
     if (!aWhy.empty()) {
       co_return ItemRunEnd::Broken;
     }
@@ -219,7 +223,7 @@
   }
   HttpRequest request = MakeRequest(aNode, aStep, aItem, aReplica);
   Result<std::unique_ptr<HttpStream>> opened =
-      co_await aNode.mClient.Open(*endpoint, std::move(request), kHeadLimit);
+      co_await aNode.mClient.Open(*endpoint, std::move(request), kHeadTimeout);
   if (!opened) {
     aWhy = opened.error().Detail();
     const bool sent = opened.error().Run() != RunState::NotRun;
@@ -231,24 +235,24 @@
   const std::unique_ptr<HttpStream> stream = std::move(*opened);
   const HttpResponse& head = stream->Head();
   ObserveLoad(aNode, aReplica.mId, head);
-  const ItemRunEnd verdict = JudgeHead(aNode, aStep, aItem, head, aWhy);
-  if (verdict != ItemRunEnd::Whole) {
-    co_return verdict;
+  const ItemRunEnd headResult = CheckHead(aNode, aStep, aItem, head, aWhy);
+  if (headResult != ItemRunEnd::Whole) {
+    co_return headResult;
   }
   const int64_t version = NumberOr(head.Find(aNode.mHeaders.mWeightVersion), 0);
-  if (!TakeVersion(aNode, aStep, aItem, aReplica, version)) {
+  if (!AcceptVersion(aNode, aStep, aItem, aReplica, version)) {
     aWhy = "weights of version " + std::to_string(version);
     co_return ItemRunEnd::Broken;
   }
   aStep.mStreams[aItem] = stream.get();
-  ItemRunEnd end = co_await TakeEvents(aNode, aStep, aItem, aReplica, *stream,
+  ItemRunEnd end = co_await ReadEvents(aNode, aStep, aItem, aReplica, *stream,
                                        version, aWhy);
   aStep.mStreams.erase(aItem);
-  aStep.mMoving.erase(aItem);
+  aStep.mMoveReasons.erase(aItem);
   RolloutText& text = aStep.mBook.Text(aItem);
   const int64_t minVersion = aStep.mBook.Spec().mMinVersion;
   if (!text.Fits(minVersion, aStep.mRoute.mSingleVersion)) {
-    // The weights changed under the stream: none of its text can be used.
+    // The weights changed during the stream: none of its text can be used.
     aWhy = "the text is of several versions";
     text = RolloutText();
     end = end == ItemRunEnd::Stopped ? end : ItemRunEnd::Broken;
@@ -262,19 +266,20 @@
   return crashes.AnySuspect() && crashes.Held(DigestOf(aStep, aItem));
 }
 
-asio::awaitable<bool> LearnFromRun(NodeContext& aNode, RolloutStep& aStep,
-                                   size_t aItem, Replica aReplica,
-                                   ItemRunEnd aEnd, int64_t aEvents) {
+asio::awaitable<bool> RecordRunOutcome(NodeContext& aNode, RolloutStep& aStep,
+                                       size_t aItem, Replica aReplica,
+                                       ItemRunEnd aEnd, int64_t aEvents) {
   const std::string& id = aStep.mBook.Item(aItem).mId;
-  const bool lived = aEnd == ItemRunEnd::Whole || aEvents >= kBegunEvents;
-  if (lived && aNode.mCrashes.AnySuspect()) {
+  const bool survived = aEnd == ItemRunEnd::Whole || aEvents >= kSurvivalEvents;
+  if (survived && aNode.mCrashes.AnySuspect()) {
     ClearRequest(aNode, DigestOf(aStep, aItem), id);
   }
-  if (lived || aEnd != ItemRunEnd::Closed) {
+  if (survived || aEnd != ItemRunEnd::Closed) {
     co_return false;
   }
-  co_return co_await BlameIfEnded(aNode, DigestOf(aStep, aItem), aReplica, id,
-                                  DescribeRequest(PartsOf(aStep, aItem)));
+  co_return co_await RecordCrashIfEnded(aNode, DigestOf(aStep, aItem), aReplica,
+                                        id,
+                                        DescribeRequest(PartsOf(aStep, aItem)));
 }
 
 }  // namespace rillwall
--- a/src/librillwall_rollout/lead_claim.cpp
+++ b/src/librillwall_rollout/lead_claim.cpp
@@ -12,51 +12,52 @@
 using asio::experimental::awaitable_operators::operator||;
 
 constexpr char kLeadKey[] = "rillwall/lead";
-/// Name of the host that gave orders last; stays when the claim lapses, and is
-/// written before the first order. Listed together with the claim, as it begins
-/// with its key.
-constexpr char kLastKey[] = "rillwall/lead-last";
-/// Life of the claim without a renewal: short, as a step without an owner
-/// stands still; long enough to outlast two lost renewals.
+/// Names the host that gave orders last. The key is written before a holder's
+/// first order, and stays when the claim lapses. It begins with the claim's
+/// key, so that both are listed together.
+constexpr char kLastOrderingHostKey[] = "rillwall/lead-last";
+/// Lifetime of the claim without a renewal: short, as a step without an owner
+/// makes no progress; long enough to survive two lost renewals.
 constexpr Millis kClaimTtl{2000};
-constexpr Millis kRenewEvery{500};
-/// Orders stop so long after the last renewal. A claim can change hands right
-/// after one, so a new holder waits for this too.
-constexpr Millis kOrderReach{1000};
-/// For an order that was under way when its holder had to stop: a call is given
-/// up after 0.6 s; the rest is for a host that is slow between its look at the
-/// claim and the call.
-constexpr Millis kOrderFlight{1000};
+constexpr Millis kRenewInterval{500};
+/// Orders stop this long after the last renewal. The claim can change hands
+/// right after a renewal, so a new holder waits for this time too.
+constexpr Millis kOrderValidity{1000};
+/// Covers an order that was under way when its holder had to stop. A call is
+/// given up after 0.6 s; the rest is for a host that is slow between its check
+/// of the claim and the call.
+constexpr Millis kMaxOrderFlight{1000};
 constexpr Millis kRetryPause{200};
-/// Candidates that learn at once that the claim is free look at it within this,
-/// not all together: each one that races for it makes a lease and a change that
-/// fails.
-constexpr Millis kClaimSpread{60};
-constexpr Millis kReserveLook{500};
+/// Candidates that learn at once that the claim is free read it at random
+/// instants within this time: each one that races for the claim costs a lease
+/// and a change that fails.
+constexpr Millis kClaimJitter{60};
+constexpr Millis kFallbackPoll{500};
 constexpr Millis kWatchWait{25000};
-/// A holder that does not answer so often in a row is asked for elsewhere. A
-/// live one on a quarter of a core answers within some ms. Not sooner: a host
-/// that restarts within a second goes on at once, while another one may give no
-/// orders for seconds.
-constexpr Millis kProbeEvery{300};
-constexpr Millis kProbeLimit{300};
-constexpr int kMisses = 2;
-/// Before the store is asked again to end a lease.
+/// After this many probes in a row without an answer, other nodes are asked
+/// whether they reach the holder. A live holder on a quarter of a core answers
+/// within a few ms. The claim is not ended sooner, because a host that restarts
+/// within a second continues at once, while a new holder may give no orders for
+/// seconds.
+constexpr Millis kProbeInterval{300};
+constexpr Millis kProbeTimeout{300};
+constexpr int kMaxProbeMisses = 2;
+/// Pause before the store is asked again to end a lease.
 constexpr Millis kReleasePause{700};
-/// A holder whose lease was ended while it lived lets others go first: nodes
-/// did not reach it, and perhaps still don't.
-constexpr Millis kStandBack{5000};
-constexpr Millis kStandBackPause{1000};
+/// A holder whose lease was ended while it lived does not claim at once, so
+/// that others go first: nodes did not reach it, and perhaps still do not.
+constexpr Millis kYieldPeriod{5000};
+constexpr Millis kYieldPause{1000};
 
 }  // namespace
 
 LeadClaim::LeadClaim(NodeContext& aNode, std::function<void()> aOnWon)
-    : mNode(aNode), mOnWon(std::move(aOnWon)), mOrderedUntil(aNode.Now()) {}
+    : mNode(aNode), mOnWon(std::move(aOnWon)), mLastOrderUntil(aNode.Now()) {}
 
 bool LeadClaim::MayOrder() const {
   const Millis now = mNode.Now();
-  return Held() && mMarked && now >= mOrdersFrom &&
-         now < mRenewedAt + kOrderReach;
+  return Held() && mOrderingHostRecorded && now >= mMayOrderFrom &&
+         now < mRenewedAt + kOrderValidity;
 }
 
 StoreGuard LeadClaim::Guard() const { return {kLeadKey, mFence}; }
@@ -72,50 +73,51 @@
   }
 }
 
-asio::awaitable<void> LeadClaim::RunAsFallback(Millis aPatience) {
-  Millis knownAt = mNode.Now();
+asio::awaitable<void> LeadClaim::RunAsFallback(Millis aMaxLeaderless) {
+  Millis lastLedAt = mNode.Now();
   while (!mNode.mStopping) {
     if (Held()) {
       co_await Hold();
-      knownAt = mNode.Now();
+      lastLedAt = mNode.Now();
       continue;
     }
-    co_await Sleep(mNode.mIo, kReserveLook);
+    co_await Sleep(mNode.mIo, kFallbackPoll);
     if (mKnown) {
-      knownAt = mNode.Now();
+      lastLedAt = mNode.Now();
     }
-    if (mNode.Now() - knownAt >= aPatience) {
+    if (mNode.Now() - lastLedAt >= aMaxLeaderless) {
       co_await ClaimIfFree();
-      knownAt = mNode.Now();
+      lastLedAt = mNode.Now();
     }
   }
 }
 
 asio::awaitable<void> LeadClaim::Hold() {
-  if (!mMarked && mNode.Now() >= mOrdersFrom) {
-    co_await MarkOrders();
+  if (!mOrderingHostRecorded && mNode.Now() >= mMayOrderFrom) {
+    co_await RecordOrderingHost();
   }
-  const Millis untilOrders = std::max(Millis(1), mOrdersFrom - mNode.Now());
-  co_await Sleep(mNode.mIo,
-                 mMarked ? kRenewEvery : std::min(kRenewEvery, untilOrders));
+  const Millis untilOrders = std::max(Millis(1), mMayOrderFrom - mNode.Now());
+  co_await Sleep(mNode.mIo, mOrderingHostRecorded
+                                ? kRenewInterval
+                                : std::min(kRenewInterval, untilOrders));
   co_await Renew();
 }
 
-asio::awaitable<void> LeadClaim::MarkOrders() {
+asio::awaitable<void> LeadClaim::RecordOrderingHost() {
   StoreChange change;
   change.mGuards.push_back(Guard());
-  change.mPuts.push_back({kLastKey, mNode.mIdentity.mName, 0});
+  change.mPuts.push_back({kLastOrderingHostKey, mNode.mIdentity.mName, 0});
   const Result<StoreCommit> done =
       co_await mNode.mStore.Commit(std::move(change));
-  mMarked = done && done->mApplied;
+  mOrderingHostRecorded = done && done->mApplied;
   Event("claim-orders")
       .Text("claim", "lead")
       .Number("fence", mFence)
-      .Flag("marked", mMarked)
+      .Flag("marked", mOrderingHostRecorded)
       .Write();
 }
 
-asio::awaitable<void> LeadClaim::TryClaim(int64_t aGuard, bool aNoOthers) {
+asio::awaitable<void> LeadClaim::TryClaim(int64_t aGuard, bool aOrderedLast) {
   const Millis asked = mNode.Now();
   const Result<StoreLease> lease = co_await mNode.mStore.Grant(kClaimTtl);
   if (!lease) {
@@ -127,21 +129,22 @@
   change.mGuards.push_back({kLeadKey, aGuard});
   const LeadHolder holder{self.mName, self.mAddress, self.mRun, self.mZone};
   change.mPuts.push_back({kLeadKey, EncodeLead(holder), lease->mId});
-  if (aNoOthers) {
-    change.mPuts.push_back({kLastKey, self.mName, 0});
+  if (aOrderedLast) {
+    change.mPuts.push_back({kLastOrderingHostKey, self.mName, 0});
   }
   const Result<StoreCommit> done = co_await mNode.mStore.Commit(change);
   if (!done || !done->mApplied) {
-    // An uncertain claim ends with its lease, which nobody renews.
+    // If the change was applied after all, the claim ends with its lease, which
+    // nobody renews.
     co_return;
   }
   mLease = lease->mId;
   mFence = done->mRevision;
   mRenewedAt = asked;
-  mMarked = aNoOthers;
+  mOrderingHostRecorded = aOrderedLast;
   const Millis now = mNode.Now();
-  const Millis wait = aNoOthers ? Millis(0) : WaitForOthers(now);
-  mOrdersFrom = now + wait;
+  const Millis wait = aOrderedLast ? Millis(0) : OrderDelay(now);
+  mMayOrderFrom = now + wait;
   mKnown = holder;
   Event("claim-won")
       .Text("claim", "lead")
@@ -152,15 +155,16 @@
   mOnWon();
 }
 
-// Two things must not happen: an order of the holder before reaches a replica
-// after one of this holder, and this host orders, another one does, and this
-// host does again within the lease time. A host that has not led lately waits
-// for the first only: two seconds in place of four, in which no weights load
-// and trainers that wait for them stand still.
-Millis LeadClaim::WaitForOthers(Millis aNow) const {
-  const Millis forThem = kOrderReach + kOrderFlight;
-  const Millis sinceOurs = mOrderedUntil + mNode.mBounds.mLease - aNow;
-  return std::max(forThem, sinceOurs);
+// Two cases must be prevented. First, an order of the previous holder reaches a
+// replica after an order of this one. Second, this host orders, another host
+// does, and this host does again, all within the lease time. A host that has
+// not led recently waits for the first only: two seconds instead of four,
+// during which no weights load and the trainers that wait for them make no
+// progress.
+Millis LeadClaim::OrderDelay(Millis aNow) const {
+  const Millis forPredecessor = kOrderValidity + kMaxOrderFlight;
+  const Millis forOwnOrders = mLastOrderUntil + mNode.mBounds.mLease - aNow;
+  return std::max(forPredecessor, forOwnOrders);
 }
 
 asio::awaitable<void> LeadClaim::Renew() {
@@ -174,16 +178,16 @@
     co_return;
   }
   if (alive && !*alive) {
-    Lose("the lease has ended");
+    DropClaim("the lease has ended");
     mLostAt = mNode.Now();
   } else if (alive) {
     mRenewedAt = asked;
   } else if (mNode.Now() > mRenewedAt + kClaimTtl) {
-    Lose("no renewal got through");
+    DropClaim("no renewal got through");
   }
 }
 
-asio::awaitable<std::optional<LeadClaim::Holding>> LeadClaim::ClaimIfFree() {
+asio::awaitable<std::optional<LeadClaim::ClaimState>> LeadClaim::ClaimIfFree() {
   const Result<StoreList> list = co_await mNode.mStore.List(kLeadKey, {});
   if (!list) {
     co_await Sleep(mNode.mIo, kRetryPause);
@@ -191,23 +195,23 @@
   }
   const NodeIdentity& self = mNode.mIdentity;
   const StoreItem* claim = nullptr;
-  // Nobody has ever given orders if nobody is named.
-  bool noOthers = true;
+  // If the key is missing, nobody has ever given orders.
+  bool orderedLast = true;
   for (const StoreItem& item : list->mItems) {
     if (item.mKey == kLeadKey) {
       claim = &item;
-    } else if (item.mKey == kLastKey) {
-      noOthers = item.mValue == self.mName;
+    } else if (item.mKey == kLastOrderingHostKey) {
+      orderedLast = item.mValue == self.mName;
     }
   }
   if (claim == nullptr) {
     mKnown.reset();
-    if (mLostAt && mNode.Now() - *mLostAt < kStandBack) {
+    if (mLostAt && mNode.Now() - *mLostAt < kYieldPeriod) {
       mLostAt.reset();
-      co_await Sleep(mNode.mIo, kStandBackPause);
+      co_await Sleep(mNode.mIo, kYieldPause);
       co_return std::nullopt;
     }
-    co_await TryClaim(0, noOthers);
+    co_await TryClaim(0, orderedLast);
     co_return std::nullopt;
   }
   const Result<LeadHolder> holder = DecodeLead(claim->mValue);
@@ -215,45 +219,46 @@
     mKnown = *holder;
   }
   if (holder && holder->mName == self.mName && holder->mRun != self.mRun) {
-    // This host's process before this one: it has ended, and gives no orders.
-    co_await TryClaim(claim->mRevision, noOthers);
+    // The claim of the previous process on this host, which has ended and gives
+    // no orders.
+    co_await TryClaim(claim->mRevision, orderedLast);
     co_return std::nullopt;
   }
-  // From the store's revision, as the key's own may be out of its history.
-  co_return Holding{holder ? holder->mAddress : std::string(), claim->mLease,
-                    list->mRevision};
+  // Watch from the store's revision, as the key's own may be compacted.
+  co_return ClaimState{holder ? holder->mAddress : std::string(), claim->mLease,
+                       list->mRevision};
 }
 
 asio::awaitable<void> LeadClaim::AwaitAndClaim() {
-  co_await Sleep(mNode.mIo, mJitter.UpTo(kClaimSpread));
-  const std::optional<Holding> holding = co_await ClaimIfFree();
-  if (!holding) {
+  co_await Sleep(mNode.mIo, mJitter.UpTo(kClaimJitter));
+  const std::optional<ClaimState> claimState = co_await ClaimIfFree();
+  if (!claimState) {
     co_return;
   }
-  if (holding->mAddress.empty() || !mWitnesses) {
-    co_await WatchClaim(holding->mRevision);
+  if (claimState->mAddress.empty() || !mPeerProbe) {
+    co_await WatchClaim(claimState->mRevision);
     co_return;
   }
-  co_await (WatchClaim(holding->mRevision) ||
-            WatchHolder(holding->mAddress, holding->mLease));
+  co_await (WatchClaim(claimState->mRevision) ||
+            ProbeHolder(claimState->mAddress, claimState->mLease));
 }
 
-asio::awaitable<void> LeadClaim::WatchHolder(std::string aAddress,
+asio::awaitable<void> LeadClaim::ProbeHolder(std::string aAddress,
                                              int64_t aLease) {
   int misses = 0;
   while (true) {
-    co_await Sleep(mNode.mIo, kProbeEvery);
+    co_await Sleep(mNode.mIo, kProbeInterval);
     const bool cancelled = co_await Cancelled();
     if (cancelled || mNode.mStopping) {
       co_return;
     }
     const std::optional<int> status =
-        co_await AskHealth(mNode, aAddress, kProbeLimit);
+        co_await AskHealth(mNode, aAddress, kProbeTimeout);
     misses = status ? 0 : misses + 1;
-    if (misses < kMisses) {
+    if (misses < kMaxProbeMisses) {
       continue;
     }
-    const bool confirmed = co_await mWitnesses(aAddress);
+    const bool confirmed = co_await mPeerProbe(aAddress);
     if (!confirmed) {
       misses = 0;
       continue;
@@ -269,7 +274,7 @@
                               "reach its holder")
         .Write();
     if (!failed) {
-      mUnreached = aAddress;
+      mUnreachableHolder = aAddress;
       co_return;
     }
     co_await Sleep(mNode.mIo, kReleasePause);
@@ -291,14 +296,14 @@
   }
 }
 
-void LeadClaim::Lose(const char* aWhy) {
+void LeadClaim::DropClaim(const char* aWhy) {
   Event("claim-lost")
       .Text("claim", "lead")
       .Number("fence", mFence)
       .Text("why", aWhy)
       .Write();
   mLease = 0;
-  mOrderedUntil = mRenewedAt + kOrderReach + kOrderFlight;
+  mLastOrderUntil = mRenewedAt + kOrderValidity + kMaxOrderFlight;
   mKnown.reset();
 }
 
@@ -307,10 +312,10 @@
   if (lease == 0) {
     co_return;
   }
-  Lose("the node stops");
+  DropClaim("the node stops");
   const std::optional<Error> failed = co_await mNode.mStore.Release(lease);
   if (failed) {
-    // It ends by itself; only the successor has to wait longer.
+    // The lease lapses by itself; the successor only has to wait longer.
     Event("release-failed").Text("why", failed->Detail()).Write();
   }
 }
--- a/src/librillwall_rollout/lead_claim_test.cpp
+++ b/src/librillwall_rollout/lead_claim_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the lead claim and of the orders under it.
+/// Tests of the lead claim and of the orders that its holder gives.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Replicas that keep orders in memory.
+/// Replicas that record orders in memory.
 class FakeControl final : public ReplicaControl {
  public:
   explicit FakeControl(asio::io_context& aIo) : mIo(aIo) {}
@@ -47,19 +47,19 @@
 class LeadClaimTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeadClaimTest);
   CPPUNIT_TEST(OneOfTwoWins);
-  CPPUNIT_TEST(LapsedClaimGoesToTheOther);
-  CPPUNIT_TEST(ResignedClaimGoesAtOnce);
+  CPPUNIT_TEST(LapsedClaimIsTakenByTheOtherCandidate);
+  CPPUNIT_TEST(ResignedClaimIsTakenAtOnce);
   CPPUNIT_TEST(NewHolderWaitsBeforeItOrders);
-  CPPUNIT_TEST(HolderThatHasNotLedWaitsForItsPredecessorOnly);
+  CPPUNIT_TEST(HolderThatNeverLedWaitsForItsPredecessorOnly);
   CPPUNIT_TEST(HolderThatHasLedWaitsForTheLease);
   CPPUNIT_TEST(RestartedHostNeedNotWait);
   CPPUNIT_TEST(RestartedHostWaitsIfAnotherOrderedLast);
-  CPPUNIT_TEST(HolderThatNobodyReachesIsReleased);
-  CPPUNIT_TEST(HolderThatOthersReachIsLeft);
-  CPPUNIT_TEST(ReleasedHolderStandsBack);
-  CPPUNIT_TEST(ReserveLeadsIfNobodyDoes);
-  CPPUNIT_TEST(ReserveLeavesACandidateAlone);
-  CPPUNIT_TEST(OtherHostDoesNotTakeALiveClaim);
+  CPPUNIT_TEST(UnreachableHolderIsReleased);
+  CPPUNIT_TEST(HolderThatOthersReachKeepsTheClaim);
+  CPPUNIT_TEST(ReleasedHolderYields);
+  CPPUNIT_TEST(FallbackLeadsWithoutCandidates);
+  CPPUNIT_TEST(FallbackDoesNotReplaceACandidate);
+  CPPUNIT_TEST(LiveClaimIsNotTaken);
   CPPUNIT_TEST(UnreachableStoreStopsOrders);
   CPPUNIT_TEST(SuspendedHolderGivesNoOrder);
   CPPUNIT_TEST(HolderIsRead);
@@ -70,9 +70,9 @@
 
   TestWorld mWorld;
   TestNode mTest{mWorld};
-  int mWon = 0;
-  LeadClaim mOne{mTest.mNode, [this] { ++mWon; }};
-  LeadClaim mTwo{mTest.mNode, [this] { ++mWon; }};
+  int mWins = 0;
+  LeadClaim mOne{mTest.mNode, [this] { ++mWins; }};
+  LeadClaim mTwo{mTest.mNode, [this] { ++mWins; }};
   FakeControl mControl{mTest.mIo};
   ScriptedReplica mReplica{mWorld.mIo, "r1", TestHeaders()};
 
@@ -83,27 +83,27 @@
   void StartBoth() {
     Launch(mTest.mIo, "one", mOne.Run());
     Launch(mTest.mIo, "two", mTwo.Run());
-    mTest.RunUntil([&] { return mWon == 1; });
+    mTest.RunUntil([&] { return mWins == 1; });
   }
 
   void OneOfTwoWins() {
     StartBoth();
     mTest.RunFor(Millis(200));
-    CPPUNIT_ASSERT_EQUAL(1, mWon);
+    CPPUNIT_ASSERT_EQUAL(1, mWins);
     CPPUNIT_ASSERT(mOne.Held() != mTwo.Held());
   }
 
-  void LapsedClaimGoesToTheOther() {
+  void LapsedClaimIsTakenByTheOtherCandidate() {
     StartBoth();
     const int64_t fence = mOne.Fence() + mTwo.Fence();
     mWorld.mStore.Lapse(101);
     mWorld.mStore.Lapse(102);
-    mTest.RunUntil([&] { return mWon == 2; });
+    mTest.RunUntil([&] { return mWins == 2; });
     CPPUNIT_ASSERT(std::max(mOne.Fence(), mTwo.Fence()) > fence);
     mTest.RunUntil([&] { return mOne.Held() != mTwo.Held(); });
   }
 
-  void ResignedClaimGoesAtOnce() {
+  void ResignedClaimIsTakenAtOnce() {
     Launch(mTest.mIo, "one", mOne.Run());
     mTest.RunUntil([&] { return mOne.Held(); });
     Launch(mTest.mIo, "two", mTwo.Run());
@@ -114,7 +114,7 @@
     };
     mTest.Run(resign());
     CPPUNIT_ASSERT(!mOne.Held());
-    mTest.RunUntil([&] { return mWon == 2; });
+    mTest.RunUntil([&] { return mWins == 2; });
   }
 
   void NewHolderWaitsBeforeItOrders() {
@@ -126,9 +126,9 @@
     CPPUNIT_ASSERT(!mTwo.MayOrder());
   }
 
-  /// A lead is lost, and a host that runs for long takes over: trainers that
-  /// wait for weights must not stand still for the whole lease time.
-  void HolderThatHasNotLedWaitsForItsPredecessorOnly() {
+  /// The lead is lost, and a host that has run for a while takes over: trainers
+  /// that wait for weights must not be blocked for the whole lease time.
+  void HolderThatNeverLedWaitsForItsPredecessorOnly() {
     mWorld.mStore.Write("rillwall/lead-last", "another host");
     constexpr Millis kAge{300};
     mTest.mNode.mBounds.mLease = kAge;
@@ -136,7 +136,7 @@
     const Millis begun = mTest.mNode.Now();
     Launch(mTest.mIo, "one", mOne.Run());
     mTest.RunUntil([&] { return mOne.MayOrder(); });
-    // Its predecessor's orders end two seconds after its last renewal.
+    // The predecessor's orders end two seconds after its last renewal.
     CPPUNIT_ASSERT(mTest.mNode.Now() - begun >= Millis(2000));
   }
 
@@ -162,7 +162,7 @@
     again.mNode.mBounds.mLease = Millis(60000);
     LeadClaim claim(again.mNode, [] {});
     Launch(again.mIo, "again", claim.Run());
-    // The claim of the host's process before has not lapsed.
+    // The claim of the host's previous process has not lapsed.
     again.RunUntil([&] { return claim.Held(); });
     CPPUNIT_ASSERT(claim.MayOrder());
     CPPUNIT_ASSERT(claim.Fence() > mOne.Fence());
@@ -173,7 +173,8 @@
     mTest.mNode.mBounds.mLease = Millis(60000);
     Launch(mTest.mIo, "one", mOne.Run());
     mTest.RunUntil([&] { return mOne.Held(); });
-    // It ends before it may order; the other host's orders may be young still.
+    // The process ends before it may order, while orders of the other host may
+    // still be recent.
     TestNode again(mWorld, "n1-again");
     again.mNode.mBounds.mLease = Millis(60000);
     LeadClaim claim(again.mNode, [] {});
@@ -183,9 +184,9 @@
     CPPUNIT_ASSERT(!claim.MayOrder());
   }
 
-  /// Runs a candidate on another host beside the holder mOne.
-  /// \return whether it has the claim in the end
-  bool CandidateWins(bool aNobodyReachesHolder, Millis aSpan) {
+  /// Runs a candidate on another host besides the holder mOne.
+  /// \return whether the candidate holds the claim at the end
+  bool CandidateWins(bool aHolderUnreachable, Millis aSpan) {
     Launch(mTest.mIo, "one", mOne.Run());
     mTest.RunUntil([&] { return mOne.Held(); });
     TestNode other(mWorld, "n2-run");
@@ -193,7 +194,7 @@
     LeadClaim claim(other.mNode, [] {});
     claim.SetPeerProbe([&](std::string aAddress) -> asio::awaitable<bool> {
       CPPUNIT_ASSERT_EQUAL(std::string("n1-address"), aAddress);
-      co_return aNobodyReachesHolder;
+      co_return aHolderUnreachable;
     });
     Launch(other.mIo, "other", claim.Run());
     const Millis end = other.mNode.Now() + aSpan;
@@ -203,34 +204,34 @@
     return claim.Held();
   }
 
-  void HolderThatNobodyReachesIsReleased() {
+  void UnreachableHolderIsReleased() {
     CPPUNIT_ASSERT(CandidateWins(true, Millis(20000)));
     mTest.RunUntil([&] { return !mOne.Held(); });
   }
 
-  void HolderThatOthersReachIsLeft() {
+  void HolderThatOthersReachKeepsTheClaim() {
     CPPUNIT_ASSERT(!CandidateWins(false, Millis(1200)));
   }
 
-  void ReleasedHolderStandsBack() {
+  void ReleasedHolderYields() {
     Launch(mTest.mIo, "one", mOne.Run());
     mTest.RunUntil([&] { return mOne.Held(); });
     mWorld.mStore.Lapse(101);
     mTest.RunUntil([&] { return !mOne.Held(); });
     Launch(mTest.mIo, "two", mTwo.Run());
-    mTest.RunUntil([&] { return mWon == 2; });
+    mTest.RunUntil([&] { return mWins == 2; });
     CPPUNIT_ASSERT(mTwo.Held());
   }
 
-  void ReserveLeadsIfNobodyDoes() {
+  void FallbackLeadsWithoutCandidates() {
     Launch(mTest.mIo, "one", mOne.RunAsFallback(Millis(1000)));
     mTest.RunFor(Millis(300));
     CPPUNIT_ASSERT(!mOne.Held());
     mTest.RunUntil([&] { return mOne.Held() && mOne.MayOrder(); });
-    CPPUNIT_ASSERT_EQUAL(1, mWon);
+    CPPUNIT_ASSERT_EQUAL(1, mWins);
   }
 
-  void ReserveLeavesACandidateAlone() {
+  void FallbackDoesNotReplaceACandidate() {
     Launch(mTest.mIo, "one", mOne.Run());
     mTest.RunUntil([&] { return mOne.Held(); });
     Launch(mTest.mIo, "two", mTwo.RunAsFallback(Millis(0)));
@@ -238,10 +239,10 @@
     CPPUNIT_ASSERT(!mTwo.Held());
     mTwo.Forget();
     mTest.RunUntil([&] { return mTwo.Known().has_value(); });
-    CPPUNIT_ASSERT_EQUAL(1, mWon);
+    CPPUNIT_ASSERT_EQUAL(1, mWins);
   }
 
-  void OtherHostDoesNotTakeALiveClaim() {
+  void LiveClaimIsNotTaken() {
     Launch(mTest.mIo, "one", mOne.Run());
     mTest.RunUntil([&] { return mOne.Held(); });
     TestNode other(mWorld, "n2-run");
@@ -257,19 +258,19 @@
     mTest.RunUntil([&] { return mOne.MayOrder(); });
     mWorld.mStore.mDown = true;
     mTest.RunUntil([&] { return !mOne.MayOrder(); });
-    // Orders stop before the lease can have ended and another may hold it.
+    // Orders stop before the lease can have ended and another node may hold it.
     CPPUNIT_ASSERT(mOne.Held());
   }
 
-  // Its timers stood still, so that it has not come to notice that its lease
-  // has lapsed; another host may lead by now.
+  // The host's timers stood still, so it has not noticed that its lease has
+  // lapsed; another host may lead by now.
   void SuspendedHolderGivesNoOrder() {
     Launch(mTest.mIo, "one", mOne.Run());
     mTest.RunUntil([&] { return mOne.MayOrder(); });
     mTest.Suspend(Millis(5000));
     CPPUNIT_ASSERT(mOne.Held());
     CPPUNIT_ASSERT(!mOne.MayOrder());
-    // The store still knows its lease: it goes on.
+    // The store still knows the lease, so the holder continues.
     mTest.RunUntil([&] { return mOne.MayOrder(); });
   }
 
@@ -297,7 +298,7 @@
     mTest.Add(mReplica, "s");
     mOrders.emplace(mTest.mNode, mOne, mControl);
     mOrders->SetTargetVersion("m", 2);
-    mOrders->SetTargetVersion("m", 1);  // an older one changes nothing
+    mOrders->SetTargetVersion("m", 1);  // an older version changes nothing
     Launch(mTest.mIo, "one", mOne.Run());
     Launch(mTest.mIo, "orders", mOrders->Run());
     mTest.RunUntil(
@@ -308,7 +309,8 @@
     mControl.mLoseOrders = 1;
     RunOrders();
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mControl.mOrders.size());
-    // The same sequence number: if the first comes late, it is refused.
+    // Both have the same sequence number, so the first is refused if it arrives
+    // late.
     CPPUNIT_ASSERT(mControl.mOrders[0].mExpected ==
                    mControl.mOrders[1].mExpected);
   }
--- a/src/librillwall_rollout/node_context.cpp
+++ b/src/librillwall_rollout/node_context.cpp
@@ -22,7 +22,7 @@
   }
   std::vector<std::string> fields;
   boost::split(fields, *load, [](char aChar) { return aChar == ','; });
-  // More may follow; replicas add figures of their own.
+  // Replicas may append further figures.
   constexpr size_t kFields = 3;
   if (fields.size() < kFields) {
     return;
--- a/src/librillwall_rollout/relay.cpp
+++ b/src/librillwall_rollout/relay.cpp
@@ -20,13 +20,14 @@
 
 using asio::experimental::awaitable_operators::operator||;
 
-/// Given to a client that names no time, on a route without a timeout.
+/// For clients that send no wait, on routes without a timeout.
 constexpr Millis kDefaultTimeout{30000};
-/// Time that an answer of this node needs to reach a client in time.
-constexpr Millis kAnswerMargin{20};
-/// Longest pause within a stream before it counts as broken. Clients give one
-/// up after two seconds at least; a loading replica pauses for one.
-constexpr Millis kStreamPause{10000};
+/// Time that a response of this node needs to reach the client.
+constexpr Millis kResponseMargin{20};
+/// Longest pause within a stream before it counts as broken. Clients give up a
+/// stream after two seconds at least; a replica that loads weights pauses for
+/// one.
+constexpr Millis kStreamIdleTimeout{10000};
 constexpr int kBadGateway = 502;
 constexpr int kServiceUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
@@ -47,7 +48,7 @@
   return aError.Kind() == ErrorKind::Timeout ? kGatewayTimeout : kBadGateway;
 }
 
-/// Seconds, with a fraction.
+/// \return the time in seconds with three decimals
 std::string Seconds(Millis aSpan) {
   constexpr int64_t kPerSecond = 1000;
   std::string text = std::to_string(aSpan.Count() / kPerSecond) + ".";
@@ -81,12 +82,12 @@
   return call;
 }
 
-/// Passes on the rest of an answer as it arrives.
-asio::awaitable<void> PassStream(std::unique_ptr<HttpStream> aRest,
-                                 const std::string& aId,
-                                 HttpExchange& aExchange) {
+/// Forwards the rest of a response as it arrives.
+asio::awaitable<void> ForwardStream(std::unique_ptr<HttpStream> aRest,
+                                    const std::string& aId,
+                                    HttpExchange& aExchange) {
   while (true) {
-    Result<std::string> part = co_await aRest->Read(kStreamPause);
+    Result<std::string> part = co_await aRest->Read(kStreamIdleTimeout);
     if (!part) {
       Event("stream-cut").Id(aId).Text("why", part.error().Detail()).Write();
       aExchange.Cut();
@@ -105,30 +106,30 @@
   }
 }
 
-asio::awaitable<void> PassAnswer(UpstreamResponse aAnswer,
-                                 const std::string& aId,
-                                 HttpExchange& aExchange) {
-  aAnswer.mHead.mHeaders = EndToEndHeaders(aAnswer.mHead.mHeaders);
-  if (!aAnswer.mRest) {
-    co_await aExchange.Respond(std::move(aAnswer.mHead));
+asio::awaitable<void> ForwardResponse(UpstreamResponse aResponse,
+                                      const std::string& aId,
+                                      HttpExchange& aExchange) {
+  aResponse.mHead.mHeaders = EndToEndHeaders(aResponse.mHead.mHeaders);
+  if (!aResponse.mRest) {
+    co_await aExchange.Respond(std::move(aResponse.mHead));
     co_return;
   }
-  std::string begun = std::move(aAnswer.mHead.mBody);
+  std::string firstPart = std::move(aResponse.mHead.mBody);
   const std::error_code failed =
-      co_await aExchange.Begin(std::move(aAnswer.mHead));
+      co_await aExchange.Begin(std::move(aResponse.mHead));
   if (failed) {
     aExchange.Cut();
     co_return;
   }
-  if (!begun.empty()) {
-    co_await aExchange.Write(std::move(begun));
+  if (!firstPart.empty()) {
+    co_await aExchange.Write(std::move(firstPart));
   }
-  co_await PassStream(std::move(aAnswer.mRest), aId, aExchange);
+  co_await ForwardStream(std::move(aResponse.mRest), aId, aExchange);
 }
 
-asio::awaitable<void> CallAndAnswer(NodeContext& aNode, UpstreamCall aCall,
-                                    const Route& aRoute, Millis aStarted,
-                                    HttpExchange& aExchange) {
+asio::awaitable<void> CallAndRespond(NodeContext& aNode, UpstreamCall aCall,
+                                     const Route& aRoute, Millis aStarted,
+                                     HttpExchange& aExchange) {
   const std::string id = aCall.mId;
   Result<UpstreamResponse> answer =
       co_await CallUpstream(aNode, std::move(aCall));
@@ -140,7 +141,7 @@
                              std::to_string(answer->mHead.mStatus) + "\"";
   aNode.mMetrics.Count("requests_total", labels);
   aNode.mMetrics.Measure("answer_ms", aNode.Now() - aStarted);
-  co_await PassAnswer(std::move(*answer), id, aExchange);
+  co_await ForwardResponse(std::move(*answer), id, aExchange);
 }
 
 }  // namespace
@@ -179,7 +180,7 @@
   if (client) {
     span = std::min(span, Millis(*client));
   }
-  return aNode.Now() + std::max(span - kAnswerMargin, Millis(0));
+  return aNode.Now() + std::max(span - kResponseMargin, Millis(0));
 }
 
 HttpResponse ErrorAnswer(const Error& aError) {
@@ -239,15 +240,15 @@
       .Number("config", aNode.mRoutes.Read()->Version())
       .Number("left_ms", (call.mDeadline - started).Count())
       .Write();
-  asio::steady_timer gone(aNode.mIo);
-  gone.expires_at(asio::steady_timer::time_point::max());
-  aExchange.OnPeerGone([&gone] { gone.cancel(); });
+  asio::steady_timer peerGone(aNode.mIo);
+  peerGone.expires_at(asio::steady_timer::time_point::max());
+  aExchange.OnPeerGone([&peerGone] { peerGone.cancel(); });
   if (aExchange.PeerGone()) {
-    gone.cancel();
+    peerGone.cancel();
   }
   const auto ended = co_await (
-      CallAndAnswer(aNode, std::move(call), aRoute, started, aExchange) ||
-      gone.async_wait(asio::as_tuple(asio::use_awaitable)));
+      CallAndRespond(aNode, std::move(call), aRoute, started, aExchange) ||
+      peerGone.async_wait(asio::as_tuple(asio::use_awaitable)));
   aExchange.OnPeerGone(nullptr);
   if (ended.index() == 1) {
     Event("client-left").Id(*id).Write();
--- a/src/librillwall_rollout/replica_end.cpp
+++ b/src/librillwall_rollout/replica_end.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-/// A refusal takes one round trip: 2 ms between availability zones, some tens
-/// between regions. The caller's next try waits for it.
-constexpr Millis kProbeLimit{100};
+/// A refused connection takes one round trip: 2 ms between availability zones,
+/// some tens of ms between regions. The caller's next try waits for it.
+constexpr Millis kProbeTimeout{100};
 
 }  // namespace
 
@@ -16,7 +16,7 @@
     co_return false;
   }
   const Listening listening =
-      co_await aNode.mClient.Probe(*endpoint, kProbeLimit);
+      co_await aNode.mClient.Probe(*endpoint, kProbeTimeout);
   const bool ended = listening == Listening::No;
   if (ended) {
     aNode.mMetrics.Count("replica_ends_seen_total");
--- a/src/librillwall_rollout/replica_end.h
+++ b/src/librillwall_rollout/replica_end.h
@@ -1,5 +1,5 @@
 /// \file
-/// Finds out whether a replica that gave no whole answer has ended.
+/// Checks whether a replica that gave no whole response has ended.
 
 #pragma once
 
@@ -9,12 +9,12 @@
 
 namespace rillwall {
 
-/// Asks the replica's host for a new connection. A host that answers and has
-/// nothing that listens shows that the process has ended, which a connection
-/// that was closed does not: that may be a reset on the way, or a fault of one
-/// answer. A host that is silent shows nothing.
+/// Opens a new connection to the replica's address. If its host answers that
+/// nothing listens there, the process has ended. A closed connection alone does
+/// not show that: it may be a reset on the way, or a fault of one response. A
+/// host that does not answer shows nothing.
 /// \param aAddress of the replica, ip:port
-/// \return whether it has certainly ended
+/// \return whether the replica has certainly ended
 asio::awaitable<bool> ReplicaEnded(NodeContext& aNode, std::string aAddress);
 
 }  // namespace rillwall
--- a/src/librillwall_rollout/rollout_accept.cpp
+++ b/src/librillwall_rollout/rollout_accept.cpp
@@ -1,8 +1,10 @@
 /// \file
-/// Accepting steps durably. A step runs while its record is on its way to a
-/// store that does not answer: after an outage its texts are there, where they
-/// would else be begun after their trainer has waited for the whole of it.
-/// A submission that may have begun is never refused as "not run".
+/// Accepts steps durably.
+///
+/// A step already runs while its record is being written to a store that does
+/// not answer. Its texts are then there after the outage; otherwise they would
+/// be started only after the trainer has waited for the whole outage. A
+/// submission that may have begun to run is never refused as "not run".
 
 #include <algorithm>
 #include <boost/asio/as_tuple.hpp>
@@ -17,20 +19,21 @@
 
 namespace {
 
-/// A submission waits so long for the store; then its sender is told that the
-/// outcome is open, and comes again. Senders give up after some seconds.
-constexpr Millis kAcceptLimit{2000};
-/// A store that answers does so within some ms. A step that runs earlier would
-/// run for nothing where another node has accepted it already.
-constexpr Millis kPatience{100};
-/// Between two writes of one record. Each call to the store is priced.
+/// A submission waits this long for the store. Then the response says that the
+/// outcome is open, and the sender submits again. Senders give up after some
+/// seconds.
+constexpr Millis kAcceptTimeout{2000};
+/// A store that is up answers within a few ms. A step that starts earlier would
+/// run in vain if another node has accepted it already.
+constexpr Millis kStartDelay{100};
+/// Pauses between two writes of one record; each call to the store is paid for.
 constexpr Millis kFirstPause{100};
 constexpr Millis kLongestPause{400};
-/// A step that was not accepted and that nobody asked for again is dropped:
-/// senders come back within a second, at another host perhaps.
-constexpr Millis kForgottenAfter{4000};
-constexpr Millis kTakingPoll{10};
-/// Under the store's values of 1 MiB.
+/// A step that was not accepted and that nobody submits again for this long is
+/// dropped. Senders submit again within a second, perhaps at another host.
+constexpr Millis kAbandonAfter{4000};
+constexpr Millis kTakeoverPoll{10};
+/// Stays below the store's limit of 1 MiB for a value.
 constexpr size_t kPartBytes = 700 * 1000;
 
 /// \return the change that accepts a step
@@ -54,29 +57,29 @@
       : mSpec(std::move(aSpec)),
         mRoute(std::move(aRoute)),
         mRecord(std::move(aRecord)),
-        mSettled(aIo) {
-    mSettled.expires_at(asio::steady_timer::time_point::max());
+        mDoneSignal(aIo) {
+    mDoneSignal.expires_at(asio::steady_timer::time_point::max());
   }
 
   const RolloutSpec mSpec;
   const Route mRoute;
   const StepRecord mRecord;
   StoreChange mChange;
-  StepPtr mStep;         ///< once it runs
-  bool mUnsure = false;  ///< an earlier write may have been done
+  StepPtr mStep;                 ///< set once the step runs
+  bool mMayBeCommitted = false;  ///< an earlier write may have been applied
   bool mDone = false;
-  bool mForgotten = false;  ///< dropped, as nobody asked for it any more
-  int mAsking = 0;          ///< submissions that wait for the outcome
-  Millis mAskedAt;          ///< when the last of them came or gave up
-  asio::steady_timer mSettled;
+  bool mAbandoned = false;  ///< dropped, as nobody submitted the step again
+  int mWaiters = 0;         ///< submissions that wait for the outcome
+  Millis mLastAskedAt;      ///< when the last of them arrived or gave up
+  asio::steady_timer mDoneSignal;
 };
 
 asio::awaitable<std::optional<Error>> RolloutService::Accept(
     RolloutSpec aSpec, Route aRoute, std::string aBody) {
   const std::string id = aSpec.mId;
-  // A takeover of the step: wait for what comes of it.
-  while (mTaking.contains(id)) {
-    co_await Sleep(mNode.mIo, kTakingPoll);
+  // Wait for the outcome of a takeover of the step.
+  while (mTakeovers.contains(id)) {
+    co_await Sleep(mNode.mIo, kTakeoverPoll);
   }
   AcceptancePtr acceptance;
   const auto pending = mAcceptances.find(id);
@@ -87,26 +90,26 @@
     co_return std::nullopt;
   } else {
     acceptance = MakeAcceptance(std::move(aSpec), std::move(aRoute), aBody);
-    Launch(mNode.mIo, "accept", Settle(acceptance));
-    Launch(mNode.mIo, "begin", BeginSoon(acceptance));
+    Launch(mNode.mIo, "accept", CommitAcceptance(acceptance));
+    Launch(mNode.mIo, "begin", StartAfterDelay(acceptance));
   }
-  const Millis until = mNode.Now() + kAcceptLimit;
-  ++acceptance->mAsking;
+  const Millis until = mNode.Now() + kAcceptTimeout;
+  ++acceptance->mWaiters;
   while (!acceptance->mDone && mNode.Now() < until) {
     asio::steady_timer limit(mNode.mIo);
     limit.expires_after(
         std::chrono::milliseconds((until - mNode.Now()).Count()));
     limit.async_wait([acceptance](const boost::system::error_code& aCode) {
       if (!aCode) {
-        acceptance->mSettled.cancel();
+        acceptance->mDoneSignal.cancel();
       }
     });
-    co_await acceptance->mSettled.async_wait(
+    co_await acceptance->mDoneSignal.async_wait(
         asio::as_tuple(asio::use_awaitable));
   }
-  --acceptance->mAsking;
-  acceptance->mAskedAt = mNode.Now();
-  if (acceptance->mDone && !acceptance->mForgotten) {
+  --acceptance->mWaiters;
+  acceptance->mLastAskedAt = mNode.Now();
+  if (acceptance->mDone && !acceptance->mAbandoned) {
     co_return std::nullopt;
   }
   Event("accept-open")
@@ -129,19 +132,21 @@
   const auto acceptance = std::make_shared<Acceptance>(
       mNode.mIo, std::move(aSpec), std::move(aRoute), std::move(record));
   acceptance->mChange = AcceptingChange(id, acceptance->mRecord, aBody);
-  acceptance->mAskedAt = mNode.Now();
+  acceptance->mLastAskedAt = mNode.Now();
   mAcceptances[id] = acceptance;
   return acceptance;
 }
 
-asio::awaitable<void> RolloutService::BeginSoon(AcceptancePtr aAcceptance) {
-  co_await Sleep(mNode.mIo, kPatience);
+asio::awaitable<void> RolloutService::StartAfterDelay(
+    AcceptancePtr aAcceptance) {
+  co_await Sleep(mNode.mIo, kStartDelay);
   if (!aAcceptance->mDone) {
-    Begin(aAcceptance);
+    StartStep(aAcceptance);
   }
 }
 
-asio::awaitable<void> RolloutService::Settle(AcceptancePtr aAcceptance) {
+asio::awaitable<void> RolloutService::CommitAcceptance(
+    AcceptancePtr aAcceptance) {
   const std::string id = aAcceptance->mSpec.mId;
   const Millis asked = mNode.Now();
   Millis pause = kFirstPause;
@@ -149,14 +154,14 @@
     const std::optional<Result<int64_t>> done =
         co_await CommitOnce(aAcceptance);
     if (done && *done) {
-      Conclude(aAcceptance, **done, mNode.Now() - asked);
+      FinishAcceptance(aAcceptance, **done, mNode.Now() - asked);
       break;
     }
     const Millis now = mNode.Now();
-    const bool forgotten = aAcceptance->mAsking == 0 &&
-                           now - aAcceptance->mAskedAt > kForgottenAfter;
+    const bool forgotten = aAcceptance->mWaiters == 0 &&
+                           now - aAcceptance->mLastAskedAt > kAbandonAfter;
     if (forgotten || mNode.mStopping) {
-      aAcceptance->mForgotten = true;
+      aAcceptance->mAbandoned = true;
       Discard(aAcceptance, "nobody submits it any more");
       break;
     }
@@ -165,7 +170,7 @@
   }
   aAcceptance->mDone = true;
   mAcceptances.erase(id);
-  aAcceptance->mSettled.cancel();
+  aAcceptance->mDoneSignal.cancel();
 }
 
 asio::awaitable<std::optional<Result<int64_t>>> RolloutService::CommitOnce(
@@ -177,19 +182,20 @@
     co_return Result<int64_t>(done->mRevision);
   }
   if (done) {
-    // An earlier try may have got through, and its answer been lost. A record
-    // of this process that came otherwise is none of ours: a step that was
-    // taken over has results already.
+    // An earlier write may have been applied and its answer lost. A record of
+    // this process that was changed after its creation is not the one written
+    // here: it belongs to a step that was taken over and may have results
+    // already.
     const StoreItem* item = done->Find(key);
     const std::string& written = aAcceptance->mChange.mPuts.front().mValue;
-    const bool ours = aAcceptance->mUnsure && item != nullptr &&
+    const bool ours = aAcceptance->mMayBeCommitted && item != nullptr &&
                       item->mValue == written &&
                       item->mRevision == item->mCreated;
     co_return Result<int64_t>(ours ? item->mRevision : 0);
   }
   const Error& error = done.error();
-  aAcceptance->mUnsure =
-      aAcceptance->mUnsure || error.Kind() != ErrorKind::KvUnavailable;
+  aAcceptance->mMayBeCommitted =
+      aAcceptance->mMayBeCommitted || error.Kind() != ErrorKind::KvUnavailable;
   Event("accept-retry")
       .Id(aAcceptance->mSpec.mId)
       .Text("why", error.Detail())
@@ -197,7 +203,7 @@
   co_return std::nullopt;
 }
 
-void RolloutService::Begin(const AcceptancePtr& aAcceptance) {
+void RolloutService::StartStep(const AcceptancePtr& aAcceptance) {
   if (aAcceptance->mStep) {
     return;
   }
@@ -205,11 +211,11 @@
                                 aAcceptance->mRecord, 0);
   step->mAccepted = false;
   aAcceptance->mStep = step;
-  AdoptTexts(*step);
+  ResumeCarriedTexts(*step);
   StartReadyItems();
 }
 
-void RolloutService::AdoptTexts(RolloutStep& aStep) {
+void RolloutService::ResumeCarriedTexts(RolloutStep& aStep) {
   const RolloutSpec& spec = aStep.mBook.Spec();
   CarriedTexts& carried = mCarried[spec.mAccount];
   int64_t used = 0;
@@ -226,8 +232,8 @@
   }
 }
 
-void RolloutService::Conclude(const AcceptancePtr& aAcceptance,
-                              int64_t aRevision, Millis aTook) {
+void RolloutService::FinishAcceptance(const AcceptancePtr& aAcceptance,
+                                      int64_t aRevision, Millis aTook) {
   const std::string& id = aAcceptance->mSpec.mId;
   if (aRevision == 0) {
     Event("step-known").Id(id).Text("why", "already in the store").Write();
@@ -235,7 +241,7 @@
     return;
   }
   const bool ran = aAcceptance->mStep != nullptr;
-  Begin(aAcceptance);
+  StartStep(aAcceptance);
   const StepPtr& step = aAcceptance->mStep;
   step->mRevision = aRevision;
   step->mAccepted = true;
@@ -266,7 +272,7 @@
   }
   Event("step-discarded").Id(step->Id()).Text("why", aWhy).Write();
   StopRuns(*step);
-  Carry(*step);
+  CarryTexts(*step);
   const auto found = mSteps.find(step->Id());
   if (found != mSteps.end() && found->second == step) {
     mSteps.erase(found);
--- a/src/librillwall_rollout/rollout_listing.cpp
+++ b/src/librillwall_rollout/rollout_listing.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Writing the results of steps, and texts that are not finished, to the store,
-/// and to the host's disk while the store takes nothing.
+/// Writes results and unfinished texts of steps to the store, and to the host's
+/// disk while the store does not answer.
 
 #include <algorithm>
 #include <iterator>
@@ -14,21 +14,24 @@
 
 namespace {
 
-/// Texts that end together go into one write.
-constexpr Millis kGatherLook{20};
-/// Text of one page; its encoded form stays under the store's 1 MiB values.
+/// Results that end within this time are written together.
+constexpr Millis kBatchDelay{20};
+/// Limit for the text of one page, whose encoded form stays below the store's
+/// limit of 1 MiB for a value.
 constexpr size_t kMaxPageBytes = 600 * 1000;
-/// Both together stay under the 1 MB that the store takes in one change.
+/// Together with a page, this stays below the 1 MB that the store takes in one
+/// change.
 constexpr size_t kMaxPartBytes = 100 * 1000;
-/// An owner that is lost costs what it generated since its last write. Texts
-/// are written down while they are unfinished if they have grown by so many
-/// events, some 0.8 s of generation, but not sooner than this after a write.
-constexpr int64_t kWorthKeeping = 20;
-constexpr Millis kKeepEvery{700};
-/// A write to the host's own disk costs a ms or two, and nothing that is
-/// shared: a quarter of a second of generation is worth it.
-constexpr int64_t kWorthSpooling = 6;
-constexpr Millis kSpoolEvery{250};
+/// The loss of an owner costs what it generated since its last write.
+/// Unfinished texts are written once they have grown by this many events, some
+/// 0.8 s of generation, but not sooner than kMinWriteInterval after the last
+/// write.
+constexpr int64_t kMinUnstoredEvents = 20;
+constexpr Millis kMinWriteInterval{700};
+/// A write to the host's own disk takes one or two ms and uses nothing that is
+/// shared. A quarter of a second of generation is worth a write.
+constexpr int64_t kMinUnspooledEvents = 6;
+constexpr Millis kSpoolInterval{250};
 constexpr Millis kFirstRetry{30};
 constexpr Millis kLongestRetry{400};
 
@@ -38,14 +41,14 @@
   state.mAllEnded = book.AllEnded();
   state.mReached = book.TargetReached();
   state.mReachedListed = aStep.mReachedListed;
-  state.mWaited = aNow - aStep.mGatherFrom.value_or(aNow);
+  state.mWaited = aNow - aStep.mUnwrittenSince.value_or(aNow);
   state.mHasDue = aStep.mDueAt.has_value();
   state.mPastDue = aNow - aStep.mDueAt.value_or(aNow);
   return state;
 }
 
-/// \return whether all that a change puts is in the store already
-bool Holds(const StoreCommit& aRefused, const StoreChange& aChange) {
+/// \return whether the store already holds everything that a change puts
+bool AlreadyStored(const StoreCommit& aRefused, const StoreChange& aChange) {
   return std::all_of(aChange.mPuts.begin(), aChange.mPuts.end(),
                      [&](const StorePut& aPut) {
                        const StoreItem* item = aRefused.Find(aPut.mKey);
@@ -53,7 +56,7 @@
                      });
 }
 
-/// Takes results off the front, as many as one page holds.
+/// Takes results from the front, as many as fit in one page.
 std::vector<RolloutResult> TakePage(std::vector<RolloutResult>& aWaiting) {
   size_t bytes = 0;
   size_t count = 0;
@@ -78,11 +81,11 @@
   }
   const Millis now = mNode.Now();
   const bool results = aStep->mBook.HasUnlisted();
-  if (results && !aStep->mGatherFrom) {
-    aStep->mGatherFrom = now;
+  if (results && !aStep->mUnwrittenSince) {
+    aStep->mUnwrittenSince = now;
   }
-  const bool texts = now - aStep->mWrittenAt >= kKeepEvery &&
-                     aStep->mBook.HasUnkept(kWorthKeeping);
+  const bool texts = now - aStep->mLastWriteAt >= kMinWriteInterval &&
+                     aStep->mBook.HasUnkept(kMinUnstoredEvents);
   const bool list = results && ListNow(StateOf(*aStep, now));
   if (texts || list) {
     aStep->mFlushing = true;
@@ -91,19 +94,19 @@
 }
 
 asio::awaitable<void> RolloutService::Flush(StepPtr aStep, bool aList) {
-  co_await Sleep(mNode.mIo, kGatherLook);
+  co_await Sleep(mNode.mIo, kBatchDelay);
   const std::string& id = aStep->Id();
   std::vector<RolloutResult> waiting;
   if (aList) {
     waiting = aStep->mBook.TakeUnlisted();
-    aStep->mGatherFrom.reset();
+    aStep->mUnwrittenSince.reset();
     aStep->mReachedListed = aStep->mBook.TargetReached();
   }
   bool first = true;
   while (aStep->mRunning && (first || !waiting.empty())) {
     first = false;
     const Millis asked = mNode.Now();
-    aStep->mWrittenAt = asked;
+    aStep->mLastWriteAt = asked;
     StoreChange change;
     change.mGuards.push_back({StepKey(id), aStep->mRevision});
     ResultPage page;
@@ -116,7 +119,7 @@
       change.mPuts.push_back({key, EncodeResultPage(page), 0});
     }
     const std::vector<RolloutPart> parts =
-        aStep->mBook.TakeUnkept(kWorthKeeping, kMaxPartBytes);
+        aStep->mBook.TakeUnkept(kMinUnstoredEvents, kMaxPartBytes);
     if (!parts.empty()) {
       const std::string key = PartKey(id, aStep->mNextPart++);
       change.mGuards.push_back({key, 0});
@@ -149,17 +152,17 @@
 
 void RolloutService::ScheduleSpool(const StepPtr& aStep) {
   const Millis now = mNode.Now();
-  if (!mSpool.Usable() || aStep->mSpooling ||
-      now - aStep->mSpooledAt < kSpoolEvery) {
+  if (!mSpool.IsOpen() || aStep->mSpooling ||
+      now - aStep->mLastSpoolAt < kSpoolInterval) {
     return;
   }
   std::vector<RolloutPart> parts =
-      aStep->mBook.TakeUnspooled(kWorthSpooling, kMaxPageBytes);
+      aStep->mBook.TakeUnspooled(kMinUnspooledEvents, kMaxPageBytes);
   if (parts.empty()) {
     return;
   }
   aStep->mSpooling = true;
-  aStep->mSpooledAt = now;
+  aStep->mLastSpoolAt = now;
   Launch(mNode.mIo, "spool", Spool(aStep, std::move(parts)));
 }
 
@@ -185,20 +188,20 @@
     const Result<StoreCommit> done = co_await mNode.mStore.Commit(aChange);
     if (done && done->mApplied) {
       aStep->mVerifiedAt = std::max(aStep->mVerifiedAt, asked);
-      aStep->mUnsettled = false;
+      aStep->mWriteUncertain = false;
       co_return true;
     }
     if (done) {
       const StoreItem* record = done->Find(step);
       const bool owner =
           record != nullptr && record->mRevision == aStep->mRevision;
-      if (owner && Holds(*done, aChange)) {
-        // Only this owner writes here: an earlier try got through.
+      if (owner && AlreadyStored(*done, aChange)) {
+        // Only the owner writes here, so an earlier try was applied.
         aStep->mVerifiedAt = std::max(aStep->mVerifiedAt, asked);
-        aStep->mUnsettled = false;
+        aStep->mWriteUncertain = false;
         co_return true;
       }
-      aStep->mUnsettled = true;
+      aStep->mWriteUncertain = true;
       if (aStep->mRunning) {
         Drop(aStep, owner ? "the store holds something else than is known here"
                           : "a page was refused, as the step has moved or "
@@ -206,7 +209,7 @@
       }
       co_return false;
     }
-    aStep->mUnsettled = true;
+    aStep->mWriteUncertain = true;
     Event("page-retry")
         .Id(aStep->Id())
         .Number("first", static_cast<int64_t>(aStep->mListed.size()))
--- a/src/librillwall_rollout/rollout_recovery.cpp
+++ b/src/librillwall_rollout/rollout_recovery.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Taking over steps whose owner is gone, and reading what the store keeps.
+/// Takes over steps whose owner is gone, loads ended steps, and removes old
+/// ones from the store.
 
 #include <algorithm>
 #include <boost/asio/as_tuple.hpp>
@@ -15,17 +16,17 @@
 namespace {
 
 constexpr char kStepPrefix[] = "rillwall/step/";
-/// A live owner on a quarter of a core answers well within this. All steps of
-/// one that is gone wait for it.
-constexpr Millis kProbeLimit{250};
+/// A live owner on a quarter of a core answers well within this time. All steps
+/// of a lost owner wait for it.
+constexpr Millis kProbeTimeout{250};
 constexpr Millis kRoutesPoll{20};
 constexpr int kOk = 200;
 
-/// Results must be readable for a while after they were asked for; ended steps
-/// are kept this many times as long.
-constexpr int64_t kKeepFactor = 5;
+/// Results must stay readable for a while after they were requested, so ended
+/// steps are kept this many times ServingBounds::mStatus.
+constexpr int64_t kRetentionFactor = 5;
 /// Keys of one change of the store; the platform takes 32 entries.
-constexpr size_t kMaxRemoves = 30;
+constexpr size_t kMaxRemovesPerChange = 30;
 
 }  // namespace
 
@@ -36,7 +37,7 @@
     co_return;
   }
   const int64_t oldest =
-      WallClockMs() - mNode.mBounds.mStatus.Count() * kKeepFactor;
+      WallClockMs() - mNode.mBounds.mStatus.Count() * kRetentionFactor;
   for (const StoreItem& item : all->mItems) {
     const Result<StepRecord> record = DecodeStepRecord(item.mValue);
     if (!record || !record->mEnded || record->mAcceptedMs > oldest) {
@@ -50,10 +51,10 @@
         .Text("why", failed ? failed->Detail() : "")
         .Write();
   }
-  co_await SweepTaken(oldest);
+  co_await SweepTakeoverMarks(oldest);
 }
 
-asio::awaitable<void> RolloutService::SweepTaken(int64_t aOldestMs) {
+asio::awaitable<void> RolloutService::SweepTakeoverMarks(int64_t aOldestMs) {
   const Result<StoreList> all = co_await ListAll(mNode.mStore, TakenKey(""));
   if (!all) {
     Event("sweep-failed").Text("why", all.error().Detail()).Write();
@@ -62,7 +63,7 @@
   StoreChange change;
   for (const StoreItem& item : all->mItems) {
     const bool old = ParseNumber(item.mValue).value_or(0) < aOldestMs;
-    if (old && change.mRemoves.size() < kMaxRemoves) {
+    if (old && change.mRemoves.size() < kMaxRemovesPerChange) {
       change.mRemoves.push_back(item.mKey);
     }
   }
@@ -72,7 +73,7 @@
   const Result<StoreCommit> done =
       co_await mNode.mStore.Commit(std::move(change));
   if (!done) {
-    // Tried again at the next sweep.
+    // The next sweep tries again.
     Event("sweep-failed").Text("why", done.error().Detail()).Write();
   }
 }
@@ -90,10 +91,10 @@
       keys.push_back(item.mKey);
     }
   }
-  // The record goes last, so that a sweep that was cut short is made again.
+  // The record is removed last, so that an interrupted sweep is repeated.
   keys.push_back(StepKey(aId));
-  for (size_t at = 0; at < keys.size(); at += kMaxRemoves) {
-    const size_t end = std::min(keys.size(), at + kMaxRemoves);
+  for (size_t at = 0; at < keys.size(); at += kMaxRemovesPerChange) {
+    const size_t end = std::min(keys.size(), at + kMaxRemovesPerChange);
     StoreChange change;
     change.mGuards.push_back({StepKey(aId), aRevision});
     change.mRemoves.assign(keys.begin() + static_cast<std::ptrdiff_t>(at),
@@ -107,9 +108,9 @@
   co_return std::nullopt;
 }
 
-asio::awaitable<bool> RolloutService::Answers(std::string aAddress) {
+asio::awaitable<bool> RolloutService::IsHealthy(std::string aAddress) {
   const std::optional<int> status =
-      co_await AskHealth(mNode, std::move(aAddress), kProbeLimit);
+      co_await AskHealth(mNode, std::move(aAddress), kProbeTimeout);
   co_return status == kOk;
 }
 
@@ -133,26 +134,27 @@
   co_return listed;
 }
 
-asio::awaitable<Result<RolloutService::KeptTexts>> RolloutService::LoadParts(
+asio::awaitable<Result<RolloutService::StoredTexts>> RolloutService::LoadParts(
     std::string aId) {
   const Result<StoreList> items =
       co_await ListAll(mNode.mStore, PartPrefix(aId));
   if (!items) {
-    // Their numbers must be known before a further one is written.
+    // The numbers of the existing parts must be known before another one is
+    // written.
     co_return items.error();
   }
-  KeptTexts kept;
+  StoredTexts stored;
   for (const StoreItem& item : items->mItems) {
     const Result<std::vector<RolloutPart>> parts = DecodeParts(item.mValue);
     if (!parts) {
       Event("texts-unread").Id(aId).Text("why", parts.error().Detail()).Write();
       continue;
     }
-    kept.mParts.insert(kept.mParts.end(), parts->begin(), parts->end());
+    stored.mParts.insert(stored.mParts.end(), parts->begin(), parts->end());
     const std::string number = item.mKey.substr(PartPrefix(aId).size());
-    kept.mNext = ParseNumber(number).value_or(kept.mNext) + 1;
+    stored.mNext = ParseNumber(number).value_or(stored.mNext) + 1;
   }
-  co_return kept;
+  co_return stored;
 }
 
 asio::awaitable<Result<std::string>> RolloutService::LoadBody(std::string aId) {
@@ -174,7 +176,7 @@
   }
   bool mEnded = false;
   std::optional<Error> mFailure;
-  asio::steady_timer mDone;  ///< cancelled at the end
+  asio::steady_timer mDone;  ///< cancelled when the load ends
 };
 
 asio::awaitable<std::optional<Error>> RolloutService::LoadArchive(
@@ -230,8 +232,8 @@
 
 asio::awaitable<Result<RolloutService::StepPtr>> RolloutService::TakeOver(
     std::string aId, StepRecord aRecord, int64_t aRevision) {
-  // Looked up before anything is changed: a step that is taken over and can't
-  // be run here would have an owner that does not know it.
+  // The route is looked up before anything changes: otherwise a step that
+  // cannot run here would get an owner that does not know it.
   const auto routes = mNode.mRoutes.Read();
   const Route* route = routes->Find(aRecord.mHost, aRecord.mPath);
   if (route == nullptr) {
@@ -246,7 +248,7 @@
   StoreChange change;
   change.mGuards.push_back({StepKey(aId), aRevision});
   change.mPuts.push_back({StepKey(aId), EncodeStepRecord(aRecord), 0});
-  // Tells the owner before, if it still lives, that it owns less.
+  // Tells the previous owner, if it still runs, that it has lost a step.
   change.mPuts.push_back(
       {TakenKey(takenFrom), std::to_string(WallClockMs()), 0});
   const Result<StoreCommit> done =
@@ -257,7 +259,7 @@
   if (!done->mApplied) {
     co_return Error(ErrorKind::Unavailable, "The step has just moved.");
   }
-  // No older owner can append from here on.
+  // From here on no previous owner can append.
   Result<std::string> body = co_await LoadBody(aId);
   if (!body) {
     co_return body.error();
@@ -266,9 +268,9 @@
   if (!listed) {
     co_return listed.error();
   }
-  const Result<KeptTexts> kept = co_await LoadParts(aId);
-  if (!kept) {
-    co_return kept.error();
+  const Result<StoredTexts> stored = co_await LoadParts(aId);
+  if (!stored) {
+    co_return stored.error();
   }
   const std::vector<RolloutPart> spooled = co_await mSpool.Load(aId);
   Result<RolloutSpec> spec = mDecoder(aId, aRecord, *body);
@@ -279,17 +281,17 @@
       MakeStep(std::move(*spec), *route, aRecord, done->mRevision);
   step->mBook.Restore(*listed);
   step->mListed = std::move(*listed);
-  step->mNextPart = kept->mNext;
-  const int64_t restored = step->mBook.RestoreTexts(kept->mParts);
-  const int64_t withDisk = step->mBook.RestoreTexts(spooled);
+  step->mNextPart = stored->mNext;
+  const int64_t restoredEvents = step->mBook.RestoreTexts(stored->mParts);
+  const int64_t restoredFromDisk = step->mBook.RestoreTexts(spooled);
   Event("step-taken-over")
       .Id(aId)
       .Text("from", before)
       .Number("revision", done->mRevision)
       .Number("listed", static_cast<int64_t>(step->mListed.size()))
       .Number("total", static_cast<int64_t>(step->mBook.Total()))
-      .Number("restored_events", restored)
-      .Number("with_disk", withDisk)
+      .Number("restored_events", restoredEvents)
+      .Number("with_disk", restoredFromDisk)
       .Write();
   mNode.mMetrics.Count("steps_taken_over_total");
   StartReadyItems();
@@ -302,8 +304,8 @@
   if (found != mSteps.end()) {
     co_return found->second;
   }
-  const TakingMark mark(mTaking, aId);
-  if (!mark.Own() || mAcceptances.contains(aId)) {
+  const TakeoverGuard guard(mTakeovers, aId);
+  if (!guard.Acquired() || mAcceptances.contains(aId)) {
     co_return Error(ErrorKind::Unavailable,
                     "The step is being accepted or taken over.");
   }
@@ -312,7 +314,7 @@
 
 asio::awaitable<void> RolloutService::AdoptOrphans(std::string aGone) {
   while (mNode.mRoutes.Read()->Version() == 0 && !mNode.mStopping) {
-    // A process that has just started learns the routes within some ms.
+    // A process that has just started learns the routes within a few ms.
     co_await Sleep(mNode.mIo, kRoutesPoll);
   }
   const Result<StoreList> all = co_await ListAll(mNode.mStore, kStepPrefix);
@@ -320,9 +322,9 @@
     Event("orphans-unread").Text("why", all.error().Detail()).Write();
     co_return;
   }
-  std::map<std::string, bool> answers;
+  std::map<std::string, bool> healthy;
   if (!aGone.empty()) {
-    answers[aGone] = false;
+    healthy[aGone] = false;
   }
   for (const StoreItem& item : all->mItems) {
     const Result<StepRecord> record = DecodeStepRecord(item.mValue);
@@ -331,20 +333,20 @@
       continue;
     }
     const std::string& address = record->mAddress;
-    if (address != mNode.mIdentity.mAddress && !answers.contains(address)) {
-      answers[address] = co_await Answers(address);
+    if (address != mNode.mIdentity.mAddress && !healthy.contains(address)) {
+      healthy[address] = co_await IsHealthy(address);
     }
-    if (answers[address]) {
+    if (healthy[address]) {
       continue;
     }
-    // All at once: each waits for several answers of the store.
-    Launch(mNode.mIo, "take-over", TakeOrphan(id, *record, item.mRevision));
+    // Concurrently, as each takeover waits for several answers of the store.
+    Launch(mNode.mIo, "take-over", TakeOverOrphan(id, *record, item.mRevision));
   }
 }
 
-asio::awaitable<void> RolloutService::TakeOrphan(std::string aId,
-                                                 StepRecord aRecord,
-                                                 int64_t aRevision) {
+asio::awaitable<void> RolloutService::TakeOverOrphan(std::string aId,
+                                                     StepRecord aRecord,
+                                                     int64_t aRevision) {
   const Result<StepPtr> step =
       co_await TakeOverOnce(aId, std::move(aRecord), aRevision);
   if (!step) {
--- a/src/librillwall_rollout/rollout_run.cpp
+++ b/src/librillwall_rollout/rollout_run.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Running the items of steps and scoring their texts.
+/// Runs the items of steps and scores their texts.
 
 #include <algorithm>
 #include <cmath>
@@ -17,23 +17,25 @@
 
 namespace {
 
-/// Time for one call of a scorer when its route sets no target latency.
-constexpr Millis kScorerLimit{600};
-constexpr int64_t kScorerTargets = 4;
+/// Time limit of one scorer call if its route sets no target latency.
+constexpr Millis kScorerTimeout{600};
+constexpr int64_t kScorerTimeoutFactor = 4;
 constexpr Millis kScorerPause{50};
 constexpr int kServerError = 500;
-/// Between two moves of one text: a replica's pace shows after some 400 ms.
-constexpr Millis kMoveEvery{700};
-/// Share of the bound for an end of a step to be in force, in percent, within
-/// which the store must have named this owner for an item to start: an owner
-/// that is late starts none. A calm one asks after half of the bound, and a
-/// call that gets no answer fails before this, so that an outage stops nothing.
-constexpr int64_t kStartPercent = 87;
+/// Shortest time between two moves of one text: a replica's pace is known after
+/// some 400 ms.
+constexpr Millis kMinMoveInterval{700};
+/// An item starts only if the store confirmed the ownership of its step within
+/// this percentage of ServingBounds::mCancel, so that an owner that learns late
+/// that the step has ended starts nothing. An owner under normal load asks the
+/// store after half of that time, and an unanswered call fails before this
+/// limit, so that an outage does not stop the starts.
+constexpr int64_t kMaxVerifiedAgePercent = 87;
 constexpr int64_t kPercent = 100;
-/// A call for a score that is held is looked at again so often.
-constexpr Millis kHeldPause{1000};
-/// Moves of a step at one look; the next one sees the slots that these take.
-constexpr size_t kMovesAtOnce = 2;
+/// How often a scorer call that is held is tried again.
+constexpr Millis kHeldPoll{1000};
+/// Moves of one step per tick; the next tick sees the slots that they take.
+constexpr size_t kMaxMovesPerTick = 2;
 
 ReplicaOutcome OutcomeOf(ItemRunEnd aEnd) {
   switch (aEnd) {
@@ -79,8 +81,8 @@
   return "unknown";
 }
 
-/// \return the figures that decided a move, for the log
-std::string WhyMoved(const TextMove& aMove) {
+/// \return the figures behind a move, for the log
+std::string DescribeMove(const TextMove& aMove) {
   const auto whole = [](double aMs) {
     return std::to_string(std::llround(aMs));
   };
@@ -94,7 +96,8 @@
 
 void RolloutService::StartReadyItems() {
   std::vector<StepPtr> steps = RunningSteps();
-  // The older first: a trainer names its next version when its older step ends.
+  // Older steps go first: a trainer names its next version when its older step
+  // ends.
   std::sort(steps.begin(), steps.end(),
             [](const StepPtr& aOne, const StepPtr& aOther) {
               return std::tuple(aOne->mRecord.mAcceptedMs, aOne->mRevision) <
@@ -112,15 +115,15 @@
   return PickService(aStep.mRoute, std::hash<std::string>()(group));
 }
 
-ReplicaWish RolloutService::WishOf(const RolloutStep& aStep) const {
-  ReplicaWish wish;
-  wish.mZone = mNode.mIdentity.mZone;
-  wish.mModel = aStep.mBook.Spec().mModel;
-  wish.mMinVersion = aStep.mBook.Spec().mMinVersion;
-  wish.mWithinSlots = true;
-  wish.mRegions = RegionsOf(*mNode.mRoutes.Read(), aStep.mRoute,
-                            aStep.mBook.Spec().mAccount);
-  return wish;
+ReplicaWish RolloutService::RequirementsOf(const RolloutStep& aStep) const {
+  ReplicaWish requirements;
+  requirements.mZone = mNode.mIdentity.mZone;
+  requirements.mModel = aStep.mBook.Spec().mModel;
+  requirements.mMinVersion = aStep.mBook.Spec().mMinVersion;
+  requirements.mWithinSlots = true;
+  requirements.mRegions = RegionsOf(*mNode.mRoutes.Read(), aStep.mRoute,
+                                    aStep.mBook.Spec().mAccount);
+  return requirements;
 }
 
 std::optional<std::string> RolloutService::ChooseReplica(
@@ -129,28 +132,29 @@
   if (service == nullptr) {
     return std::nullopt;
   }
-  ReplicaWish wish = WishOf(aStep);
-  wish.mService = *service;
+  ReplicaWish requirements = RequirementsOf(aStep);
+  requirements.mService = *service;
   if (!aPick.mAvoid.empty()) {
-    wish.mExcluded.push_back(aPick.mAvoid);
+    requirements.mExcluded.push_back(aPick.mAvoid);
   }
   const Millis now = mNode.Now();
-  std::optional<std::string> chosen = mNode.mReplicas.Choose(wish, now);
+  std::optional<std::string> chosen = mNode.mReplicas.Choose(requirements, now);
   if (!chosen && !aPick.mAvoid.empty()) {
-    wish.mExcluded.clear();
-    chosen = mNode.mReplicas.Choose(wish, now);
+    requirements.mExcluded.clear();
+    chosen = mNode.mReplicas.Choose(requirements, now);
   }
   return chosen;
 }
 
 bool RolloutService::MayStart(const RolloutStep& aStep) const {
-  // A store that does not answer this node takes no end of a step either, as
-  // far as this node can tell: what runs goes on. If it answers, and this node
-  // has not come to ask it or to read its answer, the step may have ended.
+  // As far as this node can tell, a store that does not answer it does not
+  // record the end of a step either, so items may start. If the store answers,
+  // but this node has not managed to ask it or to read its answer, the step may
+  // have ended.
   const bool away = mVerifyFailure.has_value();
   const Millis since = mNode.Now() - aStep.mVerifiedAt;
   return !aStep.mAccepted || away ||
-         since < mNode.mBounds.mCancel * kStartPercent / kPercent;
+         since < mNode.mBounds.mCancel * kMaxVerifiedAgePercent / kPercent;
 }
 
 bool RolloutService::StartNext(const StepPtr& aStep) {
@@ -162,13 +166,13 @@
     return false;
   }
   if (aStep->mBook.Text(pick->mItem).mWhole) {
-    // Carried over whole, but without its score.
+    // The text was carried over whole, but without its score.
     aStep->mBook.Started(pick->mItem, std::string());
     Launch(mNode.mIo, "score", ScoreItem(aStep, pick->mItem));
     return true;
   }
   if (ItemHeld(mNode, *aStep, pick->mItem)) {
-    // The rest of the step goes on without it.
+    // The other items of the step continue without this one.
     aStep->mBook.SetAside(pick->mItem);
     Event("item-held")
         .Id(aStep->mBook.Item(pick->mItem).mId)
@@ -197,7 +201,7 @@
   use.End(OutcomeOf(end), true);
   const int64_t events = book.Text(aItem).mEvents - before;
   const bool replicaEnded =
-      co_await LearnFromRun(mNode, *aStep, aItem, aReplica, end, events);
+      co_await RecordRunOutcome(mNode, *aStep, aItem, aReplica, end, events);
   Event("item-run")
       .Id(book.Item(aItem).mId)
       .Text("step", aStep->Id())
@@ -227,13 +231,14 @@
   StartReadyItems();
 }
 
-void RolloutService::MoveFromSlow(const StepPtr& aStep) {
+void RolloutService::MoveFromSlowReplicas(const StepPtr& aStep) {
   const Millis now = mNode.Now();
   RolloutBook& book = aStep->mBook;
   std::vector<RunningText> texts;
   for (const auto& [item, stream] : aStep->mStreams) {
     const auto last = aStep->mMovedAt.find(item);
-    if (last != aStep->mMovedAt.end() && now - last->second < kMoveEvery) {
+    if (last != aStep->mMovedAt.end() &&
+        now - last->second < kMinMoveInterval) {
       continue;
     }
     const std::string* service = ServiceOf(*aStep, item);
@@ -243,11 +248,11 @@
                        mLengths.Events(book.Item(item).mLengthHint)});
     }
   }
-  const std::vector<PlannedMove> moves =
-      PlanMoves(texts, mNode.mReplicas, WishOf(*aStep), kMovesAtOnce, now);
+  const std::vector<PlannedMove> moves = PlanMoves(
+      texts, mNode.mReplicas, RequirementsOf(*aStep), kMaxMovesPerTick, now);
   for (const PlannedMove& planned : moves) {
     aStep->mMovedAt[planned.mItem] = now;
-    aStep->mMoving[planned.mItem] = WhyMoved(planned.mMove);
+    aStep->mMoveReasons[planned.mItem] = DescribeMove(planned.mMove);
     aStep->mStreams[planned.mItem]->Abort();
   }
 }
@@ -279,7 +284,7 @@
     call.mKind = RequestKind::Idempotent;
     call.mDeadline =
         mNode.Now() +
-        std::max(kScorerLimit, route->mTargetLatency * kScorerTargets);
+        std::max(kScorerTimeout, route->mTargetLatency * kScorerTimeoutFactor);
     const int most = std::max(route->mAttempts, aStep->mRoute.mAttempts);
     const Result<UpstreamResponse> answer =
         co_await CallUpstream(mNode, std::move(call));
@@ -290,8 +295,8 @@
       book.Text(aItem).mScore = *signature;
       break;
     }
-    if (!answer && answer.error().RetryAfter() > kHeldPause) {
-      co_await Sleep(mNode.mIo, kHeldPause);
+    if (!answer && answer.error().RetryAfter() > kHeldPoll) {
+      co_await Sleep(mNode.mIo, kHeldPoll);
       continue;
     }
     failures += status == kServerError ? 1 : 0;
--- a/src/librillwall_rollout/rollout_service.cpp
+++ b/src/librillwall_rollout/rollout_service.cpp
@@ -13,26 +13,29 @@
 
 namespace {
 
-/// Look at open steps; far under the bounds that it keeps.
+/// Interval of the maintenance of open steps; far shorter than the time limits
+/// that it enforces.
 constexpr Millis kTick{100};
-/// Without readers: soon enough to end the runs of a step that another node
-/// has ended (3 s).
-constexpr Millis kVerifyIdle{1500};
-/// Given up after this if the route names no longest wait.
+/// How often ownership is checked without readers: soon enough to end the runs
+/// of a step that another node has ended (3 s).
+constexpr Millis kVerifyInterval{1500};
+/// When unfinished items are given up if the route sets no longest wait.
 constexpr Millis kDefaultMaxWait{60000};
-/// Texts kept for groups of one account that may come again; some steps' worth.
+/// Texts kept for groups of one account that may be submitted again; enough for
+/// several steps.
 constexpr size_t kMaxCarried = 2000;
-/// Results in one answer, in bytes of text; an answer holds 1 MB at most.
-constexpr size_t kMaxReadBytes = 900 * 1000;
-/// Text of ended steps kept in memory, those read least recently leave first:
-/// some 40 steps of 200 texts of 5 KB, a sixth of the smallest host with a disk
-/// among those with so many. Older ones are read from the store again.
+/// Bytes of text in one response, which holds 1 MB at most.
+constexpr size_t kMaxResponseBytes = 900 * 1000;
+/// Text of ended steps kept in memory; the least recently read leave first. It
+/// holds some 40 steps of 200 texts of 5 KB, and is a sixth of the memory of
+/// the smallest host that has so many steps and a disk. Older steps are read
+/// from the store again.
 constexpr size_t kArchiveBytes = 40 * 1024 * 1024;
-constexpr size_t kMaxPlaces = 4096;
+constexpr size_t kMaxRemoteOwners = 4096;
 /// One change of the platform's store takes 32 entries.
 constexpr int64_t kMaxPartRemoves = 28;
 
-/// \return tokens that a step is expected to generate
+/// \return the number of tokens that a step is expected to generate
 double WorkOf(const RolloutSpec& aSpec) {
   int64_t tokens = 0;
   for (const RolloutItem& item : aSpec.mItems) {
@@ -56,7 +59,7 @@
   size_t at = static_cast<size_t>(std::max<int64_t>(aAfter - aFirst, 0));
   while (at < aListed.size()) {
     bytes += SizeOf(aListed[at]);
-    if (!read.mResults.empty() && bytes > kMaxReadBytes) {
+    if (!read.mResults.empty() && bytes > kMaxResponseBytes) {
       break;
     }
     read.mResults.push_back(aListed[at]);
@@ -91,7 +94,7 @@
   }
   step->mVerifiedAt = mNode.Now();
   mSteps[id] = step;
-  mPlaces.erase(id);
+  mRemoteOwners.erase(id);
   if (mOnStep) {
     mOnStep(step->mBook.Spec(), WorkOf(step->mBook.Spec()));
   }
@@ -106,8 +109,8 @@
   if (mSteps.contains(aId) || mArchives.Knows(aId)) {
     co_return RolloutLocation{RolloutLocation::Kind::Local, {}, false};
   }
-  const auto known = mPlaces.find(aId);
-  if (known != mPlaces.end() && !aAdopt) {
+  const auto known = mRemoteOwners.find(aId);
+  if (known != mRemoteOwners.end() && !aAdopt) {
     co_return RolloutLocation{RolloutLocation::Kind::Remote, known->second,
                               false};
   }
@@ -126,14 +129,14 @@
   const bool mine = record->mAddress == mNode.mIdentity.mAddress;
   bool take = mine;
   if (!mine && aAdopt) {
-    const bool answers = co_await Answers(record->mAddress);
-    take = !answers;
+    const bool healthy = co_await IsHealthy(record->mAddress);
+    take = !healthy;
   }
   if (!take) {
-    if (mPlaces.size() > kMaxPlaces) {
-      mPlaces.clear();
+    if (mRemoteOwners.size() > kMaxRemoteOwners) {
+      mRemoteOwners.clear();
     }
-    mPlaces[aId] = record->mAddress;
+    mRemoteOwners[aId] = record->mAddress;
     co_return RolloutLocation{RolloutLocation::Kind::Remote, record->mAddress,
                               record->mEnded};
   }
@@ -153,11 +156,12 @@
 }
 
 bool RolloutService::Knows(const std::string& aId) const {
-  return mSteps.contains(aId) || mArchives.Knows(aId) || mPlaces.contains(aId);
+  return mSteps.contains(aId) || mArchives.Knows(aId) ||
+         mRemoteOwners.contains(aId);
 }
 
 void RolloutService::ForgetLocation(const std::string& aId) {
-  mPlaces.erase(aId);
+  mRemoteOwners.erase(aId);
 }
 
 asio::awaitable<Result<RolloutRead>> RolloutService::Read(std::string aId,
@@ -175,7 +179,7 @@
   const Millis until = mNode.Now() + aWait;
   while (step->mRunning && mNode.Now() < until &&
          static_cast<int64_t>(step->mListed.size()) <= aAfter) {
-    // A timer of its own bounds the wait; a change ends it sooner.
+    // The timer limits the wait; a change ends it sooner.
     asio::steady_timer limit(mNode.mIo);
     limit.expires_after(
         std::chrono::milliseconds((until - mNode.Now()).Count()));
@@ -187,8 +191,8 @@
     co_await step->mChanged.async_wait(asio::as_tuple(asio::use_awaitable));
   }
   if (static_cast<int64_t>(step->mListed.size()) <= aAfter) {
-    // What is listed never changes, whoever owns the step; that there is no
-    // more of it only its owner can say.
+    // Listed results never change, whoever owns the step. Only the owner can
+    // say that there are no more of them.
     const std::optional<Error> unsure = co_await Verify(step);
     if (unsure) {
       co_return *unsure;
@@ -228,7 +232,7 @@
   }
 }
 
-void RolloutService::Carry(const RolloutStep& aStep) {
+void RolloutService::CarryTexts(const RolloutStep& aStep) {
   CarriedTexts& carried = mCarried[aStep.mBook.Spec().mAccount];
   if (carried.size() > kMaxCarried) {
     carried.clear();
@@ -258,8 +262,8 @@
   StoreChange change;
   change.mGuards.push_back({StepKey(aId), step->mRevision});
   change.mPuts.push_back({StepKey(aId), EncodeStepRecord(record), 0});
-  // What is left of unfinished texts is of no more use; more than one change
-  // removes goes with the step itself.
+  // The remaining unfinished texts are of no further use. Those beyond the
+  // limit of one change are removed together with the step.
   for (int64_t i = 0; i < std::min(step->mNextPart, kMaxPartRemoves); ++i) {
     change.mRemoves.push_back(PartKey(aId, i));
   }
@@ -285,8 +289,8 @@
       .Number("total", static_cast<int64_t>(step->mBook.Total()))
       .Number("whole_groups", static_cast<int64_t>(step->mBook.WholeGroups()))
       .Write();
-  Carry(*step);
-  if (!step->mUnsettled) {
+  CarryTexts(*step);
+  if (!step->mWriteUncertain) {
     const auto total = static_cast<int64_t>(step->mBook.Total());
     mArchives.Add(aId, 0, total, step->mListed);
   }
@@ -301,7 +305,8 @@
 size_t RolloutService::OpenSteps() const { return mSteps.size(); }
 
 asio::awaitable<void> RolloutService::Run() {
-  // Also while the node drains: what ends meanwhile is listed.
+  // Continues while the node drains, so that texts that end meanwhile are
+  // listed.
   while (true) {
     co_await Sleep(mNode.mIo, kTick);
     Tick();
@@ -329,18 +334,18 @@
           .Write();
       step->mBook.GiveUpRest();
     }
-    verify =
-        verify || (step->mAccepted && now - step->mVerifiedAt > kVerifyIdle);
+    verify = verify ||
+             (step->mAccepted && now - step->mVerifiedAt > kVerifyInterval);
     step->mBook.PutBack(
         [&](size_t aItem) { return !ItemHeld(mNode, *step, aItem); });
     ScheduleFlush(step);
     ScheduleSpool(step);
-    MoveFromSlow(step);
+    MoveFromSlowReplicas(step);
   }
   if (verify && !mVerifying) {
     Launch(mNode.mIo, "verify",
            [](RolloutService* aSelf) -> asio::awaitable<void> {
-             // What fails is asked again at the next look.
+             // A failed check is repeated at the next tick.
              co_await aSelf->VerifyAll();
            }(this));
   }
