--- a/src/librillwall_rollout/rollout_service_test.cpp
+++ b/src/librillwall_rollout/rollout_service_test.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Tests of a step's owner: acceptance, running, listing, ending and takeover,
-/// with a store in memory and scripted replicas.
+/// with an in-memory store and scripted replicas.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -45,53 +45,53 @@
   CPPUNIT_TEST_SUITE(RolloutServiceTest);
   CPPUNIT_TEST(ListsWholeScoredTexts);
   CPPUNIT_TEST(AcceptedOnlyOnce);
-  CPPUNIT_TEST(LostAcceptAnswerIsSettled);
+  CPPUNIT_TEST(LostAcceptAnswerIsResolved);
   CPPUNIT_TEST(StepRunsWhileTheStoreIsAway);
   CPPUNIT_TEST(LostAnswersLeaveTheOutcomeOpen);
   CPPUNIT_TEST(StepThatNobodySubmitsAgainIsDropped);
   CPPUNIT_TEST(ListedResultsAreReadWhileTheStoreIsAway);
-  CPPUNIT_TEST(BrokenStreamGoesOnAtItsEvent);
-  CPPUNIT_TEST(MissingEventIsNoText);
-  CPPUNIT_TEST(OtherRequestsStreamIsNoText);
+  CPPUNIT_TEST(BrokenStreamResumesAtItsEvent);
+  CPPUNIT_TEST(StreamWithAMissingEventIsRejected);
+  CPPUNIT_TEST(StreamOfAnotherRequestIsRejected);
   CPPUNIT_TEST(FailingItemIsGivenUpAfterAttempts);
   CPPUNIT_TEST(ImpossibleItemIsGivenUpAtOnce);
   CPPUNIT_TEST(RefusedItemRunsElsewhere);
   CPPUNIT_TEST(VersionsComeFromTheEvents);
-  CPPUNIT_TEST(SingleVersionTextIsMadeAnew);
-  CPPUNIT_TEST(OldWeightsAddNothing);
+  CPPUNIT_TEST(SingleVersionTextIsRegenerated);
+  CPPUNIT_TEST(TextOfOldWeightsIsRejected);
   CPPUNIT_TEST(FailingScorerTerminates);
   CPPUNIT_TEST(LostPageAnswerListsOnce);
   CPPUNIT_TEST(PagesWaitForTheStore);
   CPPUNIT_TEST(ReplacedOwnerAppendsNothing);
-  CPPUNIT_TEST(UnsureOwnerDoesNotAnswer);
-  CPPUNIT_TEST(OwnerNoticesThatAStepWasTaken);
+  CPPUNIT_TEST(UnconfirmedOwnerDoesNotAnswer);
+  CPPUNIT_TEST(OwnerDetectsATakeover);
   CPPUNIT_TEST(OneCallVerifiesAllSteps);
   CPPUNIT_TEST(SlowStoreStillVerifies);
-  CPPUNIT_TEST(TakeoverTellsTheOwnerBefore);
+  CPPUNIT_TEST(TakeoverMarksThePreviousOwner);
   CPPUNIT_TEST(EndStopsRuns);
   CPPUNIT_TEST(EndedStepStaysReadable);
   CPPUNIT_TEST(RestartedNodeTakesItsStepOver);
-  CPPUNIT_TEST(LaterOwnerGoesOnWithUnfinishedTexts);
+  CPPUNIT_TEST(NextOwnerResumesUnfinishedTexts);
   CPPUNIT_TEST(EndedStepLeavesNoUnfinishedTexts);
   CPPUNIT_TEST(ReplacedOwnerKeepsNoTexts);
   CPPUNIT_TEST(TextsOutliveAnOutageAndARestart);
   CPPUNIT_TEST(TakeoverWithoutARouteChangesNothing);
-  CPPUNIT_TEST(SubmissionAfterAHalfTakeover);
-  CPPUNIT_TEST(OtherResultsInTheStoreAreNotListedOver);
+  CPPUNIT_TEST(SubmissionAfterAnInterruptedTakeover);
+  CPPUNIT_TEST(StoredResultsAreNotOverwritten);
   CPPUNIT_TEST(StoppingOwnerStillLists);
-  CPPUNIT_TEST(TakeoversRunOnce);
+  CPPUNIT_TEST(ConcurrentTakeoversRunOnce);
   CPPUNIT_TEST(RepeatedSubmissionDuringTakeover);
   CPPUNIT_TEST(ReaderDuringAcceptance);
   CPPUNIT_TEST(LeadAdoptsOrphans);
-  CPPUNIT_TEST(HolderThatNobodyReachesIsNotAskedAgain);
+  CPPUNIT_TEST(UnreachableOwnerIsNotProbedAgain);
   CPPUNIT_TEST(UnknownStepIsUnknown);
   CPPUNIT_TEST(TextsAreCarriedOver);
   CPPUNIT_TEST(OldEndedStepsAreRemoved);
   CPPUNIT_TEST(YoungEndedStepsAreKept);
-  CPPUNIT_TEST(OlderStepGoesFirst);
+  CPPUNIT_TEST(OlderStepRunsFirst);
   CPPUNIT_TEST(OverdueItemsAreGivenUp);
-  CPPUNIT_TEST(LateOwnerStartsNothing);
-  CPPUNIT_TEST(LooksShareOneLoad);
+  CPPUNIT_TEST(LateOwnerStartsNoItems);
+  CPPUNIT_TEST(ConcurrentReadersShareOneLoad);
   CPPUNIT_TEST_SUITE_END();
 
   /// A node's process with its rollout service.
@@ -112,7 +112,7 @@
   ScriptedReplica mEngine{mWorld.mIo, "engine1", TestHeaders()};
   ScriptedReplica mOther{mWorld.mIo, "engine2", TestHeaders()};
   ScriptedReplica mScorer{mWorld.mIo, "scorer1", TestHeaders()};
-  std::vector<std::unique_ptr<Process>> mProcesses;  ///< the last one runs
+  std::vector<std::unique_ptr<Process>> mProcesses;  ///< only the last one runs
 
  public:
   void setUp() override {
@@ -124,7 +124,7 @@
   TestNode& Test() { return mProcesses.back()->mNode; }
   RolloutService& Service() { return mProcesses.back()->mService; }
 
-  /// Starts the node anew: what it had in memory is gone.
+  /// Restarts the node's process, which loses its memory.
   void Restart(const std::string& aRun,
                const std::string& aAddress = "n1-address") {
     mProcesses.push_back(std::make_unique<Process>(mWorld, aRun));
@@ -142,7 +142,8 @@
   Result<RolloutRead> Read(int64_t aAfter = 0, int64_t aWaitMs = 0) {
     return Test().Run(Service().Read("s1", aAfter, Millis(aWaitMs)));
   }
-  /// Runs until so many results are listed. \return all of them
+  /// Runs until this many results are listed.
+  /// \return all listed results
   std::vector<RolloutResult> Listed(size_t aCount) {
     std::vector<RolloutResult> results;
     Test().RunUntil([&] {
@@ -152,7 +153,7 @@
     });
     return results;
   }
-  RolloutLocation::Kind Place(bool aAdopt = false) {
+  RolloutLocation::Kind LocationKind(bool aAdopt = false) {
     return Test().Run(Service().Locate("s1", aAdopt))->mKind;
   }
 
@@ -180,7 +181,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mEngine.mRequests.size());
   }
 
-  void LostAcceptAnswerIsSettled() {
+  void LostAcceptAnswerIsResolved() {
     mWorld.mStore.mFaults = {StoreFault::LostApplied};
     CPPUNIT_ASSERT(!Accept());
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Listed(2).size());
@@ -190,7 +191,8 @@
   void StepRunsWhileTheStoreIsAway() {
     mWorld.mStore.mDown = true;
     const std::optional<Error> open = Accept();
-    // It may be accepted yet, and parts of it run: never "not run".
+    // The step may still be accepted, and parts of it run, so "not run" would
+    // be wrong.
     CPPUNIT_ASSERT(open && open->Run() == RunState::Unknown);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mEngine.mRequests.size());
     CPPUNIT_ASSERT(!Test().Run(Service().Locate("s1", false)).has_value());
@@ -214,7 +216,7 @@
 
   void StepThatNobodySubmitsAgainIsDropped() {
     mEngine.mEvents = 1000;
-    mEngine.mOtherwise.mEventTime = Millis(500);
+    mEngine.mDefaultScript.mEventTime = Millis(500);
     mWorld.mStore.mDown = true;
     CPPUNIT_ASSERT(Accept());
     CPPUNIT_ASSERT_EQUAL(2, mEngine.mRunning);
@@ -231,11 +233,11 @@
     mWorld.mStore.mDown = true;
     Test().RunFor(Millis(800));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Read()->mResults.size());
-    // That there is no more of it only the store can say.
+    // Only the store can confirm that there are no more results.
     CPPUNIT_ASSERT(!Read(2).has_value());
   }
 
-  void BrokenStreamGoesOnAtItsEvent() {
+  void BrokenStreamResumesAtItsEvent() {
     mEngine.mScripts = {{}, {}};
     mEngine.mScripts[0].mBreakAfter = 2;
     Accept();
@@ -248,7 +250,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("2"), *last);
   }
 
-  void MissingEventIsNoText() {
+  void StreamWithAMissingEventIsRejected() {
     mEngine.mScripts = {{}};
     mEngine.mScripts[0].mSkipEvent = 2;
     Accept();
@@ -257,16 +259,16 @@
     }
   }
 
-  void OtherRequestsStreamIsNoText() {
+  void StreamOfAnotherRequestIsRejected() {
     mEngine.mScripts = {{}};
-    mEngine.mScripts[0].mOtherId = true;
+    mEngine.mScripts[0].mWrongId = true;
     Accept();
     Listed(2);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mEngine.mRequests.size());
   }
 
   void FailingItemIsGivenUpAfterAttempts() {
-    mEngine.mOtherwise.mStatus = 500;
+    mEngine.mDefaultScript.mStatus = 500;
     Accept();
     for (const RolloutResult& result : Listed(2)) {
       CPPUNIT_ASSERT(result.mEnd == RolloutEnd::Terminated);
@@ -275,14 +277,14 @@
   }
 
   void ImpossibleItemIsGivenUpAtOnce() {
-    mEngine.mOtherwise.mStatus = 422;
+    mEngine.mDefaultScript.mStatus = 422;
     Accept();
     CPPUNIT_ASSERT(Listed(2)[0].mEnd == RolloutEnd::Terminated);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mEngine.mRequests.size());
   }
 
   void RefusedItemRunsElsewhere() {
-    mEngine.mOtherwise = {503, true};
+    mEngine.mDefaultScript = {503, true};
     Test().Add(mOther, "engine");
     Accept();
     for (const RolloutResult& result : Listed(2)) {
@@ -291,14 +293,14 @@
   }
 
   void VersionsComeFromTheEvents() {
-    mEngine.mOtherwise.mVersionAt = 3;
-    // The name of the version's line is that of the header.
+    mEngine.mDefaultScript.mVersionAt = 3;
+    // The version's field in an event has the name of the header.
     Accept();
     const std::vector<int64_t> expected = {5, 6};
     CPPUNIT_ASSERT(expected == Listed(2)[0].mVersions);
   }
 
-  void SingleVersionTextIsMadeAnew() {
+  void SingleVersionTextIsRegenerated() {
     Route route = *Test().mNode.mRoutes.Read()->Find("h", "/r/");
     route.mSingleVersion = true;
     mEngine.mScripts = {{}, {}};
@@ -311,7 +313,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mEngine.mRequests.size());
   }
 
-  void OldWeightsAddNothing() {
+  void TextOfOldWeightsIsRejected() {
     mEngine.mVersion = 3;  // listed with 5
     Accept();
     Test().RunFor(Millis(60));
@@ -323,7 +325,7 @@
   }
 
   void FailingScorerTerminates() {
-    mScorer.mOtherwise.mStatus = 500;
+    mScorer.mDefaultScript.mStatus = 500;
     Accept();
     for (const RolloutResult& result : Listed(2)) {
       CPPUNIT_ASSERT(result.mEnd == RolloutEnd::Terminated);
@@ -356,7 +358,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Listed(2).size());
   }
 
-  void Steal() {
+  void ReassignStep() {
     StepRecord record =
         *DecodeStepRecord(mWorld.mStore.Items().at(StepKey("s1")).mValue);
     record.mOwner = "thief";
@@ -365,26 +367,26 @@
   }
 
   void ReplacedOwnerAppendsNothing() {
-    mEngine.mOtherwise.mEventTime = Millis(30);
+    mEngine.mDefaultScript.mEventTime = Millis(30);
     Accept();
-    Steal();
+    ReassignStep();
     Test().RunUntil([&] { return !Service().Owns("s1"); });
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mWorld.mStore.CountOf(PagePrefix("s1")));
-    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Remote);
+    CPPUNIT_ASSERT(LocationKind() == RolloutLocation::Kind::Remote);
   }
 
-  void OwnerNoticesThatAStepWasTaken() {
-    // Nothing of the step is written, which would show it too.
+  void OwnerDetectsATakeover() {
+    // No write of the step, whose guard would detect the takeover too.
     mEngine.mEvents = 100000;
-    mEngine.mOtherwise.mEventTime = Millis(20000);
+    mEngine.mDefaultScript.mEventTime = Millis(20000);
     Accept();
-    Steal();
+    ReassignStep();
     mWorld.mStore.Write(TakenKey("n1-run"), "0");
     Test().RunUntil([&] { return !Service().Owns("s1"); });
   }
 
   void OneCallVerifiesAllSteps() {
-    mEngine.mOtherwise.mEventTime = Millis(20000);
+    mEngine.mDefaultScript.mEventTime = Millis(20000);
     Accept();
     RolloutSpec second = Spec();
     second.mId = "s2";
@@ -397,7 +399,7 @@
   }
 
   void SlowStoreStillVerifies() {
-    mEngine.mOtherwise.mEventTime = Millis(20000);
+    mEngine.mDefaultScript.mEventTime = Millis(20000);
     Accept();
     Test().RunFor(Millis(800));
     mWorld.mStore.mDelay = Millis(900);
@@ -405,16 +407,16 @@
     mWorld.mStore.mDelay = Millis(0);
   }
 
-  void TakeoverTellsTheOwnerBefore() {
-    mEngine.mOtherwise.mEventTime = Millis(20000);
+  void TakeoverMarksThePreviousOwner() {
+    mEngine.mDefaultScript.mEventTime = Millis(20000);
     Accept();
     Restart("n1-again");
-    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
+    CPPUNIT_ASSERT(LocationKind() == RolloutLocation::Kind::Local);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mWorld.mStore.CountOf(TakenKey("n1-run")));
   }
 
-  void UnsureOwnerDoesNotAnswer() {
-    mEngine.mOtherwise.mEventTime = Millis(2000);
+  void UnconfirmedOwnerDoesNotAnswer() {
+    mEngine.mDefaultScript.mEventTime = Millis(2000);
     Accept();
     CPPUNIT_ASSERT(Read().has_value());
     mWorld.mStore.mDown = true;
@@ -423,7 +425,7 @@
   }
 
   void EndStopsRuns() {
-    mEngine.mOtherwise.mEventTime = Millis(1000);
+    mEngine.mDefaultScript.mEventTime = Millis(1000);
     Accept();
     Test().RunUntil([&] { return mEngine.mRunning == 2; });
     CPPUNIT_ASSERT(!Test().Run(Service().End("s1")));
@@ -441,7 +443,7 @@
     Test().Run(Service().End("s1"));
     CPPUNIT_ASSERT(listed == Read()->mResults);
     Restart("n1-again");
-    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
+    CPPUNIT_ASSERT(LocationKind() == RolloutLocation::Kind::Local);
     CPPUNIT_ASSERT(listed == Read()->mResults);
     CPPUNIT_ASSERT(Read(1)->mResults.at(0) == listed[1]);
   }
@@ -452,26 +454,26 @@
     Accept();
     const std::vector<RolloutResult> before = Listed(1);
     Restart("n1-again");
-    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
+    CPPUNIT_ASSERT(LocationKind() == RolloutLocation::Kind::Local);
     const std::vector<RolloutResult> after = Listed(2);
     CPPUNIT_ASSERT(before[0] == after[0]);
     CPPUNIT_ASSERT(after[0].mItem != after[1].mItem);
   }
 
-  /// Runs both items slowly, until the store keeps some of their texts.
+  /// Runs both items slowly, until the store has some of their texts.
   void AcceptLongTexts() {
     mEngine.mEvents = 60;
-    mEngine.mOtherwise.mEventTime = Millis(20);
+    mEngine.mDefaultScript.mEventTime = Millis(20);
     Accept();
     Test().RunUntil(
         [&] { return mWorld.mStore.CountOf(PartPrefix("s1")) > 0; });
   }
 
-  void LaterOwnerGoesOnWithUnfinishedTexts() {
+  void NextOwnerResumesUnfinishedTexts() {
     AcceptLongTexts();
     Restart("n1-again");
     const size_t before = mEngine.mRequests.size();
-    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
+    CPPUNIT_ASSERT(LocationKind() == RolloutLocation::Kind::Local);
     Test().RunUntil([&] { return mEngine.mRequests.size() == before + 2; });
     for (size_t i = before; i < before + 2; ++i) {
       const std::string* last = mEngine.mRequests[i].Find("Last-Event");
@@ -510,7 +512,7 @@
     Service().mSpool.Open(folder, kAnySize);
     Accept();
     mWorld.mStore.mDown = true;
-    // Both texts are generated, scored and on the disk, and not listed.
+    // Both texts are generated, scored and on the disk, but not listed.
     Test().RunUntil([&] {
       std::string text;
       for (const auto& entry : std::filesystem::directory_iterator(folder)) {
@@ -524,7 +526,7 @@
     Restart("n1-again");
     Service().mSpool.Open(folder, kAnySize);
     mWorld.mStore.mDown = false;
-    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
+    CPPUNIT_ASSERT(LocationKind() == RolloutLocation::Kind::Local);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Listed(2).size());
     CPPUNIT_ASSERT_EQUAL(before, mEngine.mRequests.size());
     CPPUNIT_ASSERT(!Test().Run(Service().End("s1")));
@@ -537,7 +539,7 @@
   }
 
   void TakeoverWithoutARouteChangesNothing() {
-    mEngine.mOtherwise.mEventTime = Millis(20000);
+    mEngine.mDefaultScript.mEventTime = Millis(20000);
     Accept();
     const int64_t revision = RecordRevision();
     Restart("n1-again");
@@ -547,11 +549,11 @@
     CPPUNIT_ASSERT_EQUAL(revision, RecordRevision());
   }
 
-  void SubmissionAfterAHalfTakeover() {
+  void SubmissionAfterAnInterruptedTakeover() {
     Accept();
     const std::vector<RolloutResult> before = Listed(2);
     Restart("n1-again");
-    // The takeover is in the store, and the process does not know the step.
+    // The takeover is in the store, but the process does not know the step.
     StepRecord record =
         *DecodeStepRecord(mWorld.mStore.Items().at(StepKey("s1")).mValue);
     record.mRun = Test().mNode.mIdentity.mRun;
@@ -560,16 +562,16 @@
     CPPUNIT_ASSERT(!Accept());
     Test().RunFor(Millis(100));
     CPPUNIT_ASSERT_EQUAL(requests, mEngine.mRequests.size());
-    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
+    CPPUNIT_ASSERT(LocationKind() == RolloutLocation::Kind::Local);
     CPPUNIT_ASSERT(before == Listed(2));
   }
 
-  void OtherResultsInTheStoreAreNotListedOver() {
+  void StoredResultsAreNotOverwritten() {
     Accept();
     const ResultPage other{0, {{"i1", RolloutEnd::Terminated, "", {}, ""}}, 2};
     mWorld.mStore.Write(PageKey("s1", 0), EncodeResultPage(other));
     Test().RunUntil([&] { return !Service().Owns("s1"); });
-    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
+    CPPUNIT_ASSERT(LocationKind() == RolloutLocation::Kind::Local);
     CPPUNIT_ASSERT(Listed(2)[0] == other.mResults[0]);
   }
 
@@ -583,29 +585,30 @@
     spec.mItems[1].mGroup = "another";
     spec.mTargetGroups = 2;
     Accept(spec);
-    // Nobody waits for this one alone: it is gathered, and then listed.
+    // No other result follows soon, so this one is written after its wait.
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Listed(1).size());
   }
 
-  void TakeoversRunOnce() {
-    mEngine.mOtherwise.mEventTime = Millis(500);
+  void ConcurrentTakeoversRunOnce() {
+    mEngine.mDefaultScript.mEventTime = Millis(500);
     Accept();
     Restart("n1-again");
     int found = 0;
-    const auto look = [&]() -> asio::awaitable<void> {
+    const auto locate = [&]() -> asio::awaitable<void> {
       co_await Service().Locate("s1", false);
       ++found;
     };
-    Launch(Test().mIo, "one", look());
-    Launch(Test().mIo, "two", look());
+    Launch(Test().mIo, "one", locate());
+    Launch(Test().mIo, "two", locate());
     Test().RunUntil([&] { return found == 2; });
     Test().RunUntil([&] { return mEngine.mRequests.size() >= 4; });
     Test().RunFor(Millis(100));
     CPPUNIT_ASSERT_EQUAL(size_t{4}, mEngine.mRequests.size());
   }
 
-  /// Starts a coroutine beside others. \return whether it has ended
-  std::shared_ptr<bool> Beside(asio::awaitable<void> aWork) {
+  /// Starts a coroutine that runs besides others.
+  /// \return set to true once it has ended
+  std::shared_ptr<bool> RunConcurrently(asio::awaitable<void> aWork) {
     auto ended = std::make_shared<bool>(false);
     const auto run = [](asio::awaitable<void> aInner,
                         std::shared_ptr<bool> aEnded) -> asio::awaitable<void> {
@@ -622,7 +625,7 @@
         co_await Service().Accept(Spec(), route, kBody);
     CPPUNIT_ASSERT(!failed);
   }
-  /// \return the results that the store has, by the keys of their pages
+  /// \return the results in the store, in the order of their pages' keys
   std::vector<std::string> Stored() const {
     std::vector<std::string> items;
     for (const auto& [key, item] : mWorld.mStore.Items()) {
@@ -644,9 +647,9 @@
     Listed(1);
     Restart("n1-again");
     mWorld.mStore.mDelay = Millis(20);
-    const auto located = Beside(LocateOnce());
+    const auto located = RunConcurrently(LocateOnce());
     Test().RunFor(Millis(30));
-    const auto accepted = Beside(AcceptOnce());
+    const auto accepted = RunConcurrently(AcceptOnce());
     Test().RunUntil([&] { return *located && *accepted; });
     mWorld.mStore.mDelay = Millis(0);
     Listed(2);
@@ -656,11 +659,11 @@
 
   void ReaderDuringAcceptance() {
     mWorld.mStore.mDelay = Millis(20);
-    const auto accepted = Beside(AcceptOnce());
+    const auto accepted = RunConcurrently(AcceptOnce());
     Test().RunFor(Millis(10));
-    const auto again = Beside(AcceptOnce());
+    const auto again = RunConcurrently(AcceptOnce());
     for (int i = 0; i < 5; ++i) {
-      Beside(LocateOnce());
+      RunConcurrently(LocateOnce());
       Test().RunFor(Millis(7));
     }
     Test().RunUntil([&] { return *accepted && *again; });
@@ -672,10 +675,10 @@
   }
 
   void LeadAdoptsOrphans() {
-    mEngine.mOtherwise.mEventTime = Millis(300);
+    mEngine.mDefaultScript.mEventTime = Millis(300);
     Accept();
     Restart("n2-run", "127.0.0.1:2");
-    Steal();  // its owner's address refuses connections
+    ReassignStep();  // the new owner's address refuses connections
     const auto adopt = [&]() -> asio::awaitable<bool> {
       co_await Service().AdoptOrphans();
       co_return true;
@@ -684,9 +687,9 @@
     Test().RunUntil([&] { return Service().Owns("s1"); });
   }
 
-  void HolderThatNobodyReachesIsNotAskedAgain() {
-    mEngine.mOtherwise.mEventTime = Millis(300);
-    // The scorer answers everything, also a question for a sign of life.
+  void UnreachableOwnerIsNotProbedAgain() {
+    mEngine.mDefaultScript.mEventTime = Millis(300);
+    // The scorer answers every request with 200, including health checks.
     const std::string address = mScorer.Entry("scorer").mAddress;
     Restart("n1-later", address);
     Accept();
@@ -703,7 +706,7 @@
   }
 
   void UnknownStepIsUnknown() {
-    CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Unknown);
+    CPPUNIT_ASSERT(LocationKind() == RolloutLocation::Kind::Unknown);
     mWorld.mStore.mDown = true;
     CPPUNIT_ASSERT(!Test().Run(Service().Locate("s1", false)).has_value());
   }
@@ -712,11 +715,11 @@
     mEngine.mScripts = {{}, {}};
     mEngine.mScripts[0].mBreakAfter = 2;
     mEngine.mScripts[1].mEventTime = Millis(2000);
-    mEngine.mOtherwise.mEventTime = Millis(2000);
+    mEngine.mDefaultScript.mEventTime = Millis(2000);
     Accept();
     Test().RunUntil([&] { return mEngine.mRequests.size() == 3; });
     Test().Run(Service().End("s1"));
-    mEngine.mOtherwise.mEventTime = Millis(1);
+    mEngine.mDefaultScript.mEventTime = Millis(1);
     RolloutSpec next = Spec();
     next.mId = "s2";
     Accept(next);
@@ -763,12 +766,12 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mWorld.mStore.CountOf(StepKey("s1")));
   }
 
-  void OlderStepGoesFirst() {
+  void OlderStepRunsFirst() {
     mEngine.mSlots = 1;
     Restart("n1-again");
     Accept();
     RolloutSpec later = Spec();
-    later.mId = "a0";  // before the other one in order of names
+    later.mId = "a0";  // sorts before the other id
     later.mItems[0].mId = "j1";
     later.mItems[1].mId = "j2";
     Accept(later);
@@ -783,37 +786,37 @@
   void OverdueItemsAreGivenUp() {
     Route route = *Test().mNode.mRoutes.Read()->Find("h", "/r/");
     route.mMaxWait = Millis(150);
-    mEngine.mOtherwise.mEventTime = Millis(2000);
+    mEngine.mDefaultScript.mEventTime = Millis(2000);
     CPPUNIT_ASSERT(!Test().Run(Service().Accept(Spec(), route, kBody)));
     for (const RolloutResult& result : Listed(2)) {
       CPPUNIT_ASSERT(result.mEnd == RolloutEnd::Terminated);
     }
   }
 
-  // An owner that is saturated hears late that a step was ended or taken over.
-  // Here the store is what is late, and answers in the end.
-  void LateOwnerStartsNothing() {
+  // A saturated owner learns late that a step was ended or taken over. In this
+  // test the store is late, and answers in the end.
+  void LateOwnerStartsNoItems() {
     mEngine.mSlots = 1;
     Restart("n1-again");
     Test().mNode.mBounds.mCancel = Millis(2000);
-    mEngine.mOtherwise.mEventTime = Millis(800);
+    mEngine.mDefaultScript.mEventTime = Millis(800);
     Accept();
     mWorld.mStore.mDelay = Millis(2000);
-    // The second item would begin after 2.4 s, and the store answers at 3.5 s.
+    // The second item would start after 2.4 s, and the store answers at 3.5 s.
     Test().RunFor(Millis(3000));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mEngine.mRequests.size());
     mWorld.mStore.mDelay = Millis(0);
     Test().RunUntil([&] { return mEngine.mRequests.size() == 2; });
   }
 
-  asio::awaitable<void> Look(std::optional<Error> aWanted) {
+  asio::awaitable<void> LoadArchiveOnce(std::optional<Error> aWanted) {
     const std::optional<Error> failed = co_await Service().LoadArchive("s1");
     CPPUNIT_ASSERT(failed.has_value() == aWanted.has_value());
-    ++mLooks;
+    ++mLoads;
   }
-  int mLooks = 0;
+  int mLoads = 0;
 
-  void LooksShareOneLoad() {
+  void ConcurrentReadersShareOneLoad() {
     Accept();
     Listed(2);
     CPPUNIT_ASSERT(!Test().Run(Service().End("s1")));
@@ -821,10 +824,10 @@
     mWorld.mStore.mDelay = Millis(20);
     const uint64_t before = mWorld.mStore.Counts().mReads;
     for (int i = 0; i < 4; ++i) {
-      Launch(Test().mIo, "look", Look(std::nullopt));
+      Launch(Test().mIo, "look", LoadArchiveOnce(std::nullopt));
     }
-    Test().RunUntil([&] { return mLooks == 4; });
-    // Its record and one list of pages.
+    Test().RunUntil([&] { return mLoads == 4; });
+    // One read of the record and one list of pages.
     CPPUNIT_ASSERT_EQUAL(before + 2, mWorld.mStore.Counts().mReads);
     mWorld.mStore.mDelay = Millis(0);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Read()->mResults.size());
--- a/src/librillwall_rollout/rollout_step.h
+++ b/src/librillwall_rollout/rollout_step.h
@@ -1,5 +1,5 @@
 /// \file
-/// One step as its owner holds it.
+/// The state of one step at its owner.
 
 #pragma once
 
@@ -18,27 +18,30 @@
 
 namespace rillwall {
 
-/// Marks a step as being taken over, for as long as it lives.
-class TakingMark {
+/// Marks a step as being taken over, during the lifetime of the object.
+class TakeoverGuard {
  public:
-  TakingMark(std::set<std::string>& aMarks, std::string aId)
-      : mMarks(aMarks), mId(std::move(aId)), mOwn(mMarks.insert(mId).second) {}
-  ~TakingMark() {
-    if (mOwn) {
-      mMarks.erase(mId);
+  TakeoverGuard(std::set<std::string>& aInProgress, std::string aId)
+      : mInProgress(aInProgress),
+        mId(std::move(aId)),
+        mAcquired(mInProgress.insert(mId).second) {}
+  ~TakeoverGuard() {
+    if (mAcquired) {
+      mInProgress.erase(mId);
     }
   }
-  TakingMark(const TakingMark&) = delete;
-  TakingMark& operator=(const TakingMark&) = delete;
-  /// \return whether nobody else had marked it
-  bool Own() const { return mOwn; }
+  TakeoverGuard(const TakeoverGuard&) = delete;
+  TakeoverGuard& operator=(const TakeoverGuard&) = delete;
+  /// \return whether the step was not marked before
+  bool Acquired() const { return mAcquired; }
 
  private:
-  std::set<std::string>& mMarks;
+  std::set<std::string>& mInProgress;
   const std::string mId;
-  const bool mOwn;
+  const bool mAcquired;
 };
 
+/// A step that this node owns or is accepting.
 struct RolloutStep {
   RolloutStep(asio::io_context& aIo, RolloutBook aBook, Route aRoute,
               StepRecord aRecord, int64_t aRevision)
@@ -51,34 +54,39 @@
   }
 
   const std::string& Id() const { return mBook.Spec().mId; }
-  /// Wakes everybody who waits for a result.
+  /// Wakes all readers that wait for a result.
   void Notify() { mChanged.cancel(); }
 
   RolloutBook mBook;
   const Route mRoute;
   StepRecord mRecord;
   int64_t mRevision;                   ///< of the record; guards every append
-  std::vector<RolloutResult> mListed;  ///< in the store, by position
-  bool mReachedListed = false;  ///< its target was reached at the last page
-  bool mRunning = true;         ///< owned here, and not ended
-  bool mAccepted = true;        ///< the store holds its record
-  bool mFlushing = false;       ///< results or texts are being written
-  bool mUnsettled = false;      ///< a page may or may not be in the store
+  std::vector<RolloutResult> mListed;  ///< results in the store, by position
+  /// The target was reached when results were last written.
+  bool mReachedListed = false;
+  bool mRunning = true;    ///< owned here and not ended
+  bool mAccepted = true;   ///< the store holds the step's record
+  bool mFlushing = false;  ///< results or texts are being written
+  /// The store may or may not hold the last page.
+  bool mWriteUncertain = false;
   std::map<size_t, HttpStream*> mStreams;  ///< by item
-  /// Items whose stream is ended to go elsewhere, and why.
-  std::map<size_t, std::string> mMoving;
-  std::map<size_t, Millis> mMovedAt;  ///< by item, the last such move
-  /// By item, once it is needed. While all slots are taken, items are looked at
-  /// thousands of times a second: a digest each time would take 1 us.
+  /// Items whose stream is being ended so that they continue at another
+  /// replica, and the reasons.
+  std::map<size_t, std::string> mMoveReasons;
+  std::map<size_t, Millis> mMovedAt;  ///< last move, by item
+  /// By item, computed on first use. While all slots are taken, items are
+  /// checked thousands of times a second, and each digest would take 1 us.
   std::map<size_t, RequestDigest> mDigests;
   int64_t mNextPart = 0;   ///< number of the next write of unfinished texts
   bool mSpooling = false;  ///< texts are being written to the disk
-  Millis mSpooledAt;       ///< when that last began
-  Millis mWrittenAt;       ///< when the last write began
-  std::optional<Millis> mGatherFrom;  ///< since when a result is unwritten
-  std::optional<Millis> mDueAt;       ///< when the trainer wants its results
-  Millis mGiveUpAt;                   ///< then unfinished items are given up
+  Millis mLastSpoolAt;     ///< when the last write to the disk began
+  Millis mLastWriteAt;     ///< when the last write to the store began
+  std::optional<Millis>
+      mUnwrittenSince;           ///< since when there is an unwritten result
+  std::optional<Millis> mDueAt;  ///< when the trainer wants the results
+  Millis mGiveUpAt;              ///< when unfinished items are given up
   Millis mVerifiedAt;  ///< when the store was last asked and named this owner
+  /// Cancelled by Notify().
   asio::steady_timer mChanged;
 };
 
--- a/src/librillwall_rollout/rollout_support_test.cpp
+++ b/src/librillwall_rollout/rollout_support_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The parts of rollout_test_support.h.
+/// Implements rollout_test_support.h.
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -12,16 +12,17 @@
 
 namespace {
 
-constexpr Millis kWatchLook{2};
+constexpr Millis kWatchPoll{2};
 
-/// Waits on the caller's context: a caller that is destroyed leaves nothing.
+/// Waits on the caller's executor, so that a destroyed caller leaves nothing
+/// pending.
 asio::awaitable<void> Wait(Millis aSpan) {
   asio::steady_timer timer(co_await asio::this_coro::executor);
   timer.expires_after(std::chrono::milliseconds(aSpan.Count()));
   co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-Error Lost() { return {ErrorKind::KvUncertain, "the answer is lost"}; }
+Error LostAnswer() { return {ErrorKind::KvUncertain, "the answer is lost"}; }
 
 }  // namespace
 
@@ -63,7 +64,7 @@
 
 asio::awaitable<Result<std::optional<StoreItem>>> FakeStore::GetOld(
     std::string aKey) {
-  ++mOldReads;
+  ++mStaleReads;
   co_return co_await Get(std::move(aKey));
 }
 
@@ -74,14 +75,15 @@
   if (const auto down = Down()) {
     co_return *down;
   }
-  constexpr size_t kPage = 2;  // small, so that every reader meets pages
+  constexpr size_t kPageSize =
+      2;  // small, so that every reader handles several pages
   StoreList list;
   list.mRevision = mRevision;
   for (const auto& [key, item] : mItems) {
     if (!key.starts_with(aPrefix) || key <= aAfter) {
       continue;
     }
-    if (list.mItems.size() == kPage) {
+    if (list.mItems.size() == kPageSize) {
       list.mMore = true;
       break;
     }
@@ -96,7 +98,7 @@
   ++mCounts.mWatches;
   StoreEvents events;
   for (Millis waited; events.mEvents.empty() && waited < aWait;
-       waited += kWatchLook) {
+       waited += kWatchPoll) {
     if (const auto down = Down()) {
       co_return *down;
     }
@@ -107,7 +109,7 @@
       }
     }
     if (events.mEvents.empty()) {
-      co_await Wait(kWatchLook);
+      co_await Wait(kWatchPoll);
     }
   }
   events.mRevision = mRevision;
@@ -160,12 +162,12 @@
     co_return Error(ErrorKind::KvUnavailable, "refused");
   }
   if (fault == StoreFault::LostDropped) {
-    co_return Lost();
+    co_return LostAnswer();
   }
   StoreCommit commit = Apply(aChange);
   co_await Wait(mDelay);
   if (fault == StoreFault::LostApplied) {
-    co_return Lost();
+    co_return LostAnswer();
   }
   co_return commit;
 }
@@ -243,12 +245,12 @@
 asio::awaitable<void> ScriptedReplica::Handle(const HttpRequest& aRequest,
                                               HttpExchange& aExchange) {
   mRequests.push_back(aRequest);
-  ReplicaScript script = mOtherwise;
+  ReplicaScript script = mDefaultScript;
   if (!mScripts.empty()) {
     script = mScripts.front();
     mScripts.pop_front();
   }
-  if (script.mEnds) {
+  if (script.mProcessEnds) {
     mServer.Stop();
     aExchange.Cut();
     co_return;
@@ -260,7 +262,7 @@
   HttpResponse head;
   head.mStatus = script.mStatus;
   const std::string* id = aRequest.Find(mNames.mRequestId);
-  const std::string echo = script.mOtherId ? "other" : id ? *id : "";
+  const std::string echo = script.mWrongId ? "other" : id ? *id : "";
   head.mHeaders.push_back({mNames.mRequestId, echo});
   head.mHeaders.push_back({mNames.mSignature, "signed-" + echo});
   head.mHeaders.push_back({mNames.mWeightVersion, std::to_string(mVersion)});
--- a/src/librillwall_rollout/rollout_test_support.h
+++ b/src/librillwall_rollout/rollout_test_support.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the tests of the serving path share: a store in memory with faults, a
-/// replica that follows a script, and a node on one thread.
+/// Shared parts of the serving path's tests: an in-memory store with faults, a
+/// scripted replica, and a node on one thread.
 
 #pragma once
 
@@ -19,15 +19,15 @@
 
 namespace rillwall {
 
-/// What happens to the next change of the store.
+/// Fault injected into the next change of the store.
 enum class StoreFault {
   None,
-  Refused,      ///< nothing is done, and that is said
-  LostApplied,  ///< done, and the answer is lost
-  LostDropped,  ///< not done, and the answer is lost
+  Refused,      ///< the change is not applied, and the error says so
+  LostApplied,  ///< the change is applied, and its answer is lost
+  LostDropped,  ///< the change is not applied, and its answer is lost
 };
 
-/// The store in memory.
+/// An in-memory store.
 class FakeStore final : public StorePort {
  public:
   asio::awaitable<Result<std::optional<StoreItem>>> Get(
@@ -45,16 +45,16 @@
   asio::awaitable<std::optional<Error>> Release(int64_t aLease) override;
   StoreCounts Counts() const override { return mCounts; }
 
-  /// Ends a lease, as when it was not renewed.
+  /// Expires a lease, as if it had not been renewed.
   void Lapse(int64_t aLease);
-  /// Writes a key, as another writer would.
+  /// Writes a key as another client of the store would.
   void Write(const std::string& aKey, const std::string& aValue);
   const std::map<std::string, StoreItem>& Items() const { return mItems; }
   size_t CountOf(const std::string& aPrefix) const;
 
-  std::deque<StoreFault> mFaults;  ///< of the next changes, in order
+  std::deque<StoreFault> mFaults;  ///< for the next changes, in order
   bool mDown = false;              ///< every call is refused
-  uint64_t mOldReads = 0;          ///< reads that need not be the newest
+  uint64_t mStaleReads = 0;        ///< number of reads that allow stale data
   Millis mDelay;                   ///< before each call and after each change
 
  private:
@@ -73,29 +73,30 @@
 /// How a scripted replica answers one request.
 struct ReplicaScript {
   int mStatus = 200;
-  bool mNotRun = false;      ///< says that it did not run it
-  bool mOtherId = false;     ///< echoes the identity of another request
-  bool mSilent = false;      ///< never answers
-  bool mEnds = false;        ///< the replica's process ends under the request
-  int64_t mBreakAfter = -1;  ///< events after which the stream is cut
-  int64_t mSkipEvent = -1;   ///< id of an event that is left out
-  Millis mEventTime{1};      ///< between two events
-  int64_t mVersionAt = -1;   ///< event at which the version grows by one
+  bool mNotRun = false;   ///< the response says that the request was not run
+  bool mWrongId = false;  ///< echoes the identity of another request
+  bool mSilent = false;   ///< never answers
+  bool mProcessEnds = false;  ///< the replica's process ends under the request
+  int64_t mBreakAfter = -1;   ///< events after which the stream is cut
+  int64_t mSkipEvent = -1;    ///< id of an event that is left out
+  Millis mEventTime{1};       ///< between two events
+  int64_t mVersionAt = -1;    ///< event at which the version increases by one
 };
 
-/// A replica on a port of its own.
+/// An HTTP server on its own port that answers by script.
 class ScriptedReplica {
  public:
   ScriptedReplica(asio::io_context& aIo, std::string aId, HeaderNames aNames);
   ~ScriptedReplica() { mServer.Stop(); }
 
   Replica Entry(const std::string& aService) const;
-  /// Its process ends: connections are closed, and nothing listens any more.
+  /// Ends the replica's process: connections are closed, and nothing listens
+  /// any more.
   void Stop() { mServer.Stop(); }
-  std::deque<ReplicaScript> mScripts;  ///< of the next requests
-  ReplicaScript mOtherwise;            ///< of all later ones
-  std::vector<HttpRequest> mRequests;  ///< as they came
-  int64_t mEvents = 3;                 ///< of a whole stream
+  std::deque<ReplicaScript> mScripts;  ///< for the next requests
+  ReplicaScript mDefaultScript;        ///< for all later requests
+  std::vector<HttpRequest> mRequests;  ///< received requests
+  int64_t mEvents = 3;                 ///< number of events of a whole stream
   int64_t mVersion = 5;
   int64_t mSlots = 8;
   bool mStreams = true;  ///< answers with events, else with a plain body
@@ -115,18 +116,18 @@
   Endpoint mEndpoint;
 };
 
-/// An io_context whose pending coroutines can be destroyed while what they
-/// refer to still lives.
+/// An io_context whose pending coroutines can be destroyed while the objects
+/// that they refer to still exist.
 class TestContext : public asio::io_context {
  public:
   void Close() { shutdown(); }
 };
 
-/// The machine's clock on a host that a test suspends.
+/// The clock of a host that a test can suspend.
 class SuspendedClock final : public Clock {
  public:
   Millis Now() const override { return mSteady.Now() + mSuspended; }
-  /// The host stands still for so long: its timers and what it waits for too.
+  /// Advances the clock while the host's timers stand still.
   void Suspend(Millis aSpan) { mSuspended += aSpan; }
 
  private:
@@ -134,13 +135,15 @@
   Millis mSuspended;
 };
 
-/// What outlives a node: the store and the thread that replicas run on.
+/// The parts that outlive a node: the store, and the io_context that replicas
+/// run on.
 struct TestWorld {
   TestContext mIo;
   FakeStore mStore;
 };
 
-/// A node's process. One that is not run any more is as good as dead.
+/// A node's process. A node whose io_context is no longer run behaves as if it
+/// had crashed.
 class TestNode {
  public:
   explicit TestNode(TestWorld& aWorld, std::string aRun = "n1-run");
@@ -162,11 +165,11 @@
     }
     return std::move(*result);
   }
-  /// Runs until something holds; fails after long.
+  /// Runs until a condition holds; fails after 20 s.
   template <class Condition>
   void RunUntil(Condition aCondition) {
-    constexpr int kGenerousMs = 20000;
-    const Millis end = mNode.Now() + Millis(kGenerousMs);
+    constexpr int kTimeoutMs = 20000;
+    const Millis end = mNode.Now() + Millis(kTimeoutMs);
     while (!aCondition()) {
       CPPUNIT_ASSERT_MESSAGE("waited too long", mNode.Now() < end);
       const size_t done = mIo.poll() + mWorld.mIo.poll();
@@ -177,11 +180,11 @@
       mWorld.mIo.restart();
     }
   }
-  /// Runs for some time.
+  /// Runs for the given time.
   void RunFor(Millis aSpan);
-  /// The host is suspended for so long.
+  /// Suspends the host for the given time.
   void Suspend(Millis aSpan) { mClock->Suspend(aSpan); }
-  /// Lists a replica as the registry would.
+  /// Adds a replica to the node's list, as the registry would.
   void Add(const ScriptedReplica& aReplica, const std::string& aService);
 
   TestWorld& mWorld;
@@ -197,7 +200,7 @@
 /// /score/ at "scorer".
 RouteTable StepRoutes();
 
-/// Names of headers for tests.
+/// Header names for tests.
 HeaderNames TestHeaders();
 
 }  // namespace rillwall
--- a/src/librillwall_rollout/rollout_verify.cpp
+++ b/src/librillwall_rollout/rollout_verify.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whether this node still owns its steps.
+/// Checks whether this node still owns its steps.
 
 #include <algorithm>
 
@@ -10,33 +10,34 @@
 
 namespace {
 
-/// An owner that has not heard from the store for so long asks whether it is
-/// still the owner, before it answers. Under the bound within which a position
-/// that was read anywhere must be there (1 s).
-constexpr Millis kVerifyAfter{700};
+/// An owner that the store has not confirmed for this long asks the store
+/// before it answers a reader. It is shorter than the time within which a
+/// position that was read anywhere must be visible (1 s).
+constexpr Millis kMaxVerifiedAge{700};
 constexpr Millis kVerifyPoll{5};
 
 }  // namespace
 
 asio::awaitable<std::optional<Error>> RolloutService::Verify(StepPtr aStep) {
   if (!aStep->mRunning) {
-    // Ended here: what is listed can't change any more.
-    const bool ended = aStep->mRecord.mEnded && !aStep->mUnsettled;
+    // The step ended here, so its listed results cannot change any more.
+    const bool ended = aStep->mRecord.mEnded && !aStep->mWriteUncertain;
     co_return ended ? std::nullopt
                     : std::optional(Error(ErrorKind::Unavailable,
                                           "The step is not owned here."));
   }
   const Millis begun = mNode.Now();
-  if (begun - aStep->mVerifiedAt < kVerifyAfter) {
+  if (begun - aStep->mVerifiedAt < kMaxVerifiedAge) {
     co_return std::nullopt;
   }
   const std::optional<Error> failed = co_await VerifyAll();
   if (failed) {
     co_return failed;
   }
-  // However long the store took: what counts is when it was asked.
+  // The time at which the store was asked counts, however long it took to
+  // answer.
   const bool verified =
-      aStep->mRunning && begun - aStep->mVerifiedAt < kVerifyAfter;
+      aStep->mRunning && begun - aStep->mVerifiedAt < kMaxVerifiedAge;
   co_return verified
       ? std::nullopt
       : std::optional(Error(ErrorKind::Unavailable, "The step has moved."));
@@ -44,19 +45,19 @@
 
 asio::awaitable<std::optional<Error>> RolloutService::VerifyAll() {
   if (mVerifying) {
-    // Whoever asks meanwhile shares the call.
+    // Concurrent callers share one check.
     while (mVerifying) {
       co_await Sleep(mNode.mIo, kVerifyPoll);
     }
     co_return mVerifyFailure;
   }
   mVerifying = true;
-  mVerifyFailure = co_await AskTaken();
+  mVerifyFailure = co_await CheckTakeovers();
   mVerifying = false;
   co_return mVerifyFailure;
 }
 
-asio::awaitable<std::optional<Error>> RolloutService::AskTaken() {
+asio::awaitable<std::optional<Error>> RolloutService::CheckTakeovers() {
   const Millis asked = mNode.Now();
   const std::vector<StepPtr> steps = RunningSteps();
   const Result<std::optional<StoreItem>> taken =
--- a/src/librillwall_rollout/service_metrics.cpp
+++ b/src/librillwall_rollout/service_metrics.cpp
@@ -6,8 +6,8 @@
 
 constexpr std::string_view kPrefix = "rillwall_";
 
-void Line(std::string& aOut, std::string_view aName, std::string_view aLabels,
-          const std::string& aValue) {
+void AppendLine(std::string& aOut, std::string_view aName,
+                std::string_view aLabels, const std::string& aValue) {
   aOut += kPrefix;
   aOut += aName;
   if (!aLabels.empty()) {
@@ -30,15 +30,16 @@
   }
 }
 
-void LatencyHistogram::Print(std::string& aOut, std::string_view aName) const {
+void LatencyHistogram::AppendTo(std::string& aOut,
+                                std::string_view aName) const {
   const std::string name(aName);
   for (size_t i = 0; i < kBounds.size(); ++i) {
     const std::string bound = "le=\"" + std::to_string(kBounds[i]) + "\"";
-    Line(aOut, name + "_bucket", bound, std::to_string(mBuckets[i]));
+    AppendLine(aOut, name + "_bucket", bound, std::to_string(mBuckets[i]));
   }
-  Line(aOut, name + "_bucket", "le=\"+Inf\"", std::to_string(mCount));
-  Line(aOut, name + "_sum", {}, std::to_string(mSum));
-  Line(aOut, name + "_count", {}, std::to_string(mCount));
+  AppendLine(aOut, name + "_bucket", "le=\"+Inf\"", std::to_string(mCount));
+  AppendLine(aOut, name + "_sum", {}, std::to_string(mSum));
+  AppendLine(aOut, name + "_count", {}, std::to_string(mCount));
 }
 
 void ServiceMetrics::Count(std::string_view aName, std::string_view aLabels,
@@ -67,16 +68,16 @@
   for (const auto& [name, series] : mCounters) {
     out += "# TYPE " + std::string(kPrefix) + name + " counter\n";
     for (const auto& [labels, value] : series) {
-      Line(out, name, labels, std::to_string(value));
+      AppendLine(out, name, labels, std::to_string(value));
     }
   }
   for (const auto& [name, value] : mGauges) {
     out += "# TYPE " + std::string(kPrefix) + name + " gauge\n";
-    Line(out, name, {}, std::to_string(value));
+    AppendLine(out, name, {}, std::to_string(value));
   }
   for (const auto& [name, histogram] : mHistograms) {
     out += "# TYPE " + std::string(kPrefix) + name + " histogram\n";
-    histogram.Print(out, name);
+    histogram.AppendTo(out, name);
   }
   return out;
 }
--- a/src/librillwall_rollout/step_spool.cpp
+++ b/src/librillwall_rollout/step_spool.cpp
@@ -26,11 +26,12 @@
 
 namespace fs = std::filesystem;
 
-/// Steps are given up after a minute or so; a file is not needed for longer.
+/// Steps are given up after about a minute, and a file is not needed for longer
+/// than its step.
 constexpr std::chrono::minutes kMaxAge{10};
-/// For reading a step's file, some MB at the most.
-constexpr Millis kLoadLimit{400};
-constexpr Millis kLoadLook{5};
+/// Time limit for reading a step's file, which has some MB at most.
+constexpr Millis kLoadTimeout{400};
+constexpr Millis kLoadPoll{5};
 constexpr char kSuffix[] = ".texts";
 constexpr size_t kHashDigits = 16;
 
@@ -45,7 +46,7 @@
   return digits;
 }
 
-/// One line: checksum, space, JSON.
+/// \return one line of a file: checksum, space, JSON
 std::string LineOf(const std::vector<RolloutPart>& aParts) {
   const std::string text = EncodeParts(aParts);
   return Hash(text) + " " + text + "\n";
@@ -55,7 +56,7 @@
   return std::string(aWhat) + ": " + std::strerror(errno);
 }
 
-/// \return what went wrong, empty if all is on the disk
+/// \return the error, or an empty string if all bytes are on the disk
 std::string AppendToFile(const std::string& aPath, std::string_view aLine) {
   const int file =
       ::open(aPath.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
@@ -97,9 +98,10 @@
   return all;
 }
 
-/// Removes files that were written long before the newest one: the clocks of
-/// files and of the process may differ.
-/// \return bytes of those that stay
+/// Removes files that were written long before the newest one. Ages are
+/// compared among files, as the clocks of the file system and of the process
+/// may differ.
+/// \return the size of the remaining files
 size_t RemoveOldFiles(const std::string& aFolder) {
   std::vector<fs::directory_entry> files;
   fs::file_time_type newest = fs::file_time_type::min();
@@ -127,13 +129,13 @@
 void StepSpool::Open(std::string aFolder, size_t aMaxBytes) {
   mFolder = std::move(aFolder);
   mMaxBytes = aMaxBytes;
-  if (Usable()) {
+  if (IsOpen()) {
     asio::post(mDisk, [this] { mBytes = RemoveOldFiles(mFolder); });
   }
 }
 
 std::string StepSpool::PathOf(const std::string& aStep) const {
-  // Identities come from clients; a file's name must not.
+  // Step ids come from clients and must not become file names.
   return mFolder + "/" + Hash(aStep) + kSuffix;
 }
 
@@ -153,16 +155,17 @@
 
 asio::awaitable<std::vector<RolloutPart>> StepSpool::Load(std::string aStep) {
   using Parts = std::vector<RolloutPart>;
-  if (!Usable()) {
+  if (!IsOpen()) {
     co_return Parts();
   }
-  // Not awaited by itself: a disk that hangs must not hold a takeover up.
+  // The load is polled rather than awaited, so that a disk that hangs does not
+  // block a takeover.
   const auto loaded = std::make_shared<std::optional<Parts>>();
   asio::post(mDisk, [this, loaded, path = PathOf(aStep)] {
     asio::post(mIo, [loaded, parts = ReadFile(path)] { *loaded = parts; });
   });
-  for (Millis waited; !*loaded && waited < kLoadLimit; waited += kLoadLook) {
-    co_await Sleep(mIo, kLoadLook);
+  for (Millis waited; !*loaded && waited < kLoadTimeout; waited += kLoadPoll) {
+    co_await Sleep(mIo, kLoadPoll);
   }
   if (!*loaded) {
     Event("spool-unread").Id(aStep).Text("why", "the disk hangs").Write();
@@ -172,9 +175,9 @@
 }
 
 void StepSpool::Remove(const std::string& aStep) {
-  if (Usable()) {
+  if (IsOpen()) {
     asio::post(mDisk, [this, path = PathOf(aStep)] {
-      std::error_code missing;  // steps that ended soon have no file
+      std::error_code missing;  // steps that ended early have no file
       const uintmax_t bytes = fs::file_size(path, missing);
       if (!missing && fs::remove(path, missing)) {
         mBytes -= std::min<size_t>(mBytes, bytes);
--- a/src/librillwall_rollout/suspects.cpp
+++ b/src/librillwall_rollout/suspects.cpp
@@ -11,10 +11,11 @@
 namespace {
 
 constexpr int kOk = 200;
-/// Stands in records in the place of a replica.
-constexpr char kByHand[] = "by-hand-";
+/// Prefix of the name that takes the place of a replica in records that an
+/// operator makes.
+constexpr char kOperatorRecordPrefix[] = "by-hand-";
 
-json::object RowOf(const NodeContext& aNode, const Suspect& aSuspect) {
+json::object ToJson(const NodeContext& aNode, const Suspect& aSuspect) {
   json::array replicas;
   int64_t last = 0;
   for (const CrashRecord& record : aSuspect.mRecords) {
@@ -37,7 +38,7 @@
 HttpResponse List(const NodeContext& aNode) {
   json::array rows;
   for (const Suspect& suspect : aNode.mCrashes.Suspects()) {
-    rows.emplace_back(RowOf(aNode, suspect));
+    rows.emplace_back(ToJson(aNode, suspect));
   }
   json::object text;
   text["suspects"] = std::move(rows);
@@ -45,13 +46,14 @@
 }
 
 void Hold(NodeContext& aNode, const RequestDigest& aRequest) {
-  // Records of another hour may be there, and have been cleared since.
+  // The time makes the names new: records from an earlier hold may still exist
+  // and have been cleared.
   const int64_t now = aNode.mTimeOfDay();
   for (size_t i = 0; i < CrashTable::kReplicasToHold; ++i) {
-    Replica hand;
-    hand.mId = kByHand + std::to_string(i);
-    hand.mBorn = now;
-    BlameRequest(aNode, aRequest, hand, {}, "held by an operator");
+    Replica placeholder;
+    placeholder.mId = kOperatorRecordPrefix + std::to_string(i);
+    placeholder.mBorn = now;
+    RecordCrash(aNode, aRequest, placeholder, {}, "held by an operator");
   }
 }
 
--- a/src/librillwall_rollout/suspects_test.cpp
+++ b/src/librillwall_rollout/suspects_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of what operators see and change of suspected requests.
+/// Tests of listing and changing suspected requests as an operator.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,32 +11,33 @@
 
 class SuspectsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SuspectsTest);
-  CPPUNIT_TEST(ListsWhatIsSuspected);
+  CPPUNIT_TEST(ListsSuspects);
   CPPUNIT_TEST(ClearedRequestIsNotHeld);
-  CPPUNIT_TEST(HeldByHand);
-  CPPUNIT_TEST(WrongCallsNameTheRemedy);
+  CPPUNIT_TEST(OperatorHoldsARequest);
+  CPPUNIT_TEST(InvalidCallsNameTheRemedy);
   CPPUNIT_TEST_SUITE_END();
 
   TestWorld mWorld;
   TestNode mTest{mWorld};
   const RequestDigest mDigest{RequestParts{"POST", "h", "/p", "", ""}};
 
-  HttpResponse Ask(const std::string& aMethod, const std::string& aQuery = "") {
+  HttpResponse Send(const std::string& aMethod,
+                    const std::string& aQuery = "") {
     HttpRequest request;
     request.mMethod = aMethod;
     request.mTarget = kSuspectsPath + aQuery;
     return HandleSuspectsRequest(mTest.mNode, request);
   }
-  HttpResponse Do(const std::string& aAction) {
-    return Ask("POST", "?action=" + aAction + "&request=" + mDigest.Text());
+  HttpResponse PostAction(const std::string& aAction) {
+    return Send("POST", "?action=" + aAction + "&request=" + mDigest.Text());
   }
   bool Held() { return mTest.mNode.mCrashes.Held(mDigest); }
 
-  void ListsWhatIsSuspected() {
-    CPPUNIT_ASSERT_EQUAL(std::string(R"({"suspects":[]})"), Ask("GET").mBody);
+  void ListsSuspects() {
+    CPPUNIT_ASSERT_EQUAL(std::string(R"({"suspects":[]})"), Send("GET").mBody);
     const int64_t now = WallClockMs();
     mTest.mNode.mCrashes.Merge({{mDigest, "r1", now, false, "POST h/p"}});
-    const json::object listed = *ParseJsonObject(Ask("GET").mBody);
+    const json::object listed = *ParseJsonObject(Send("GET").mBody);
     const json::object& row =
         listed.at("suspects").as_array().at(0).as_object();
     CPPUNIT_ASSERT(row.at("request").as_string() == mDigest.Text().c_str());
@@ -52,21 +53,21 @@
           {{mDigest, replica, WallClockMs(), false, ""}});
     }
     CPPUNIT_ASSERT(Held());
-    CPPUNIT_ASSERT_EQUAL(200, Do("clear").mStatus);
+    CPPUNIT_ASSERT_EQUAL(200, PostAction("clear").mStatus);
     CPPUNIT_ASSERT(!Held());
-    CPPUNIT_ASSERT_EQUAL(404, Do("clear").mStatus);
+    CPPUNIT_ASSERT_EQUAL(404, PostAction("clear").mStatus);
   }
 
-  void HeldByHand() {
-    CPPUNIT_ASSERT_EQUAL(200, Do("hold").mStatus);
+  void OperatorHoldsARequest() {
+    CPPUNIT_ASSERT_EQUAL(200, PostAction("hold").mStatus);
     CPPUNIT_ASSERT(Held());
-    // It goes to the other hosts.
+    // The records are to be written for the other hosts.
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mTest.mNode.mCrashes.Unsaved(9).size());
   }
 
-  void WrongCallsNameTheRemedy() {
-    CPPUNIT_ASSERT_EQUAL(400, Ask("POST", "?action=clear&request=7").mStatus);
-    const HttpResponse answer = Do("other");
+  void InvalidCallsNameTheRemedy() {
+    CPPUNIT_ASSERT_EQUAL(400, Send("POST", "?action=clear&request=7").mStatus);
+    const HttpResponse answer = PostAction("other");
     CPPUNIT_ASSERT_EQUAL(400, answer.mStatus);
     CPPUNIT_ASSERT(answer.mBody.find("remedy") != std::string::npos);
     CPPUNIT_ASSERT(!Held());
--- a/src/librillwall_rollout/upstream_call.cpp
+++ b/src/librillwall_rollout/upstream_call.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// An answer up to this size is taken in whole before its first byte is handed
-/// on, so that a broken one can be replaced. Far over the plain answers of
-/// today's users (5 KB), far under a small host's memory.
-constexpr size_t kMaxWholeBody = 256 * 1024;
+/// A response up to this size is read whole before its first byte is forwarded,
+/// so that another replica can be tried if it breaks off. Plain responses have
+/// 5 KB; the limit is far above that and far below the memory of a small host.
+constexpr size_t kMaxBufferedBody = 256 * 1024;
 /// Shortest time that a try gets before another replica is tried.
-constexpr Millis kMinTry{200};
-/// Pause before replicas that refused are asked again.
+constexpr Millis kMinTryTimeout{200};
+/// Pause before replicas that refused are tried again.
 constexpr Millis kRefusedPause{25};
 constexpr int kMisdirected = 421;
 constexpr int kFirstServerError = 500;
@@ -27,18 +27,19 @@
       : mNode(aNode),
         mCall(std::move(aCall)),
         mAttempts(mCall.mKind, mCall.mAttempts) {
-    mWish.mService = mCall.mService;
-    mWish.mZone = mNode.mIdentity.mZone;
-    mWish.mRegions = mCall.mRegions;
+    mRequirements.mService = mCall.mService;
+    mRequirements.mZone = mNode.mIdentity.mZone;
+    mRequirements.mRegions = mCall.mRegions;
   }
 
   NodeContext& mNode;
   const UpstreamCall mCall;
   CallAttempts mAttempts;
-  ReplicaWish mWish;
-  std::optional<UpstreamResponse> mFailedAnswer;  ///< best of the failed ones
-  bool mCounted = false;  ///< it has begun to run at some replica
-  std::optional<RequestDigest> mDigest;  ///< once it is needed
+  ReplicaWish mRequirements;
+  std::optional<UpstreamResponse>
+      mFailedResponse;    ///< best response among failed tries
+  bool mCounted = false;  ///< the request has begun to run at some replica
+  std::optional<RequestDigest> mDigest;  ///< computed on first use
 };
 
 RequestParts PartsOf(const UpstreamCall& aCall) {
@@ -48,7 +49,7 @@
           request.mTarget, aCall.mAccount, request.mBody};
 }
 
-/// \return what the request is, whoever sends it again
+/// \return the digest of the request, which is the same whoever sends it again
 const RequestDigest& DigestOf(CallRun& aRun) {
   if (!aRun.mDigest) {
     aRun.mDigest.emplace(PartsOf(aRun.mCall));
@@ -56,29 +57,31 @@
   return *aRun.mDigest;
 }
 
-/// A call that ends replicas is held by all hosts: what is known of it must not
-/// end with this attempt, or each one would end as many replicas again.
-std::optional<Error> RefusalOf(CallRun& aRun) {
+/// \return an error if the request is held. All hosts hold a request that ends
+/// replicas, as the knowledge must outlive this attempt; otherwise each new
+/// attempt would end as many replicas again.
+std::optional<Error> HeldError(CallRun& aRun) {
   const NodeContext& node = aRun.mNode;
-  return node.mCrashes.AnySuspect() ? RefusalIfHeld(node, DigestOf(aRun))
+  return node.mCrashes.AnySuspect() ? ErrorIfHeld(node, DigestOf(aRun))
                                     : std::nullopt;
 }
 
-/// Counts a request for its account, once and by the time at which it was
-/// first sent to a replica that ran it. Also if the client leaves meanwhile.
-class RunCount {
+/// Counts a request for its account, once, at the time when it was first sent
+/// to a replica that ran it. Also counts it if the client disconnects
+/// meanwhile.
+class UsageCount {
  public:
-  explicit RunCount(CallRun& aRun)
+  explicit UsageCount(CallRun& aRun)
       : mRun(aRun), mSentMs(aRun.mNode.mTimeOfDay()) {}
-  ~RunCount() {
+  ~UsageCount() {
     if (mMayRun && !mRun.mCounted) {
       mRun.mCounted = true;
       mRun.mNode.mUsage.Count(mRun.mCall.mAccount, mSentMs);
     }
   }
-  RunCount(const RunCount&) = delete;
-  RunCount& operator=(const RunCount&) = delete;
-  /// The replica has certainly not run it.
+  UsageCount(const UsageCount&) = delete;
+  UsageCount& operator=(const UsageCount&) = delete;
+  /// The replica has certainly not run the request.
   void NotRun() { mMayRun = false; }
 
  private:
@@ -90,44 +93,44 @@
 /// How one try ended.
 struct TryResult {
   TryEnd mEnd = TryEnd::NotSent;
-  UpstreamResponse mAnswer;
+  UpstreamResponse mResponse;
   std::string mWhy;
-  bool mClosed = false;  ///< the replica closed the connection
-  bool mEnded = false;   ///< its process has ended since
+  bool mConnectionClosed = false;  ///< the replica closed the connection
+  bool mReplicaEnded = false;      ///< the replica's process has ended since
 };
 
-/// \return whether an answer shows that its replica lives through the request.
-/// The head of a stream does not; nor does an error: a replica whose time is up
-/// answers too, and would have ended later.
-bool LivedThrough(const CallRun& aRun, const TryResult& aResult) {
+/// \return whether a response shows that its replica survived the request. The
+/// head of a stream does not show that. Neither does an error: a replica whose
+/// time for the request ran out answers too, and would have ended later.
+bool SurvivedRequest(const CallRun& aRun, const TryResult& aResult) {
   return aResult.mEnd == TryEnd::Answered &&
          aRun.mCall.mKind != RequestKind::Streaming &&
-         aResult.mAnswer.mHead.mStatus < kFirstServerError;
+         aResult.mResponse.mHead.mStatus < kFirstServerError;
 }
 
-/// Keeps what a try has shown of the request.
-asio::awaitable<void> LearnFrom(CallRun& aRun, const Replica& aReplica,
-                                TryResult& aResult) {
+/// Updates the crash records of the request after a try.
+asio::awaitable<void> RecordOutcome(CallRun& aRun, const Replica& aReplica,
+                                    TryResult& aResult) {
   NodeContext& node = aRun.mNode;
   const UpstreamCall& call = aRun.mCall;
-  if (aResult.mEnd == TryEnd::Lost && aResult.mClosed) {
-    aResult.mEnded =
-        co_await BlameIfEnded(node, DigestOf(aRun), aReplica, call.mId,
-                              DescribeRequest(PartsOf(call)));
+  if (aResult.mEnd == TryEnd::Lost && aResult.mConnectionClosed) {
+    aResult.mReplicaEnded =
+        co_await RecordCrashIfEnded(node, DigestOf(aRun), aReplica, call.mId,
+                                    DescribeRequest(PartsOf(call)));
   }
-  if (node.mCrashes.AnySuspect() && LivedThrough(aRun, aResult)) {
+  if (node.mCrashes.AnySuspect() && SurvivedRequest(aRun, aResult)) {
     ClearRequest(node, DigestOf(aRun), call.mId);
   }
 }
 
-/// \return whether the request may be tried at another replica after this one
-bool MayGoOn(CallRun& aRun, const TryResult& aResult) {
-  return !aResult.mEnded || aRun.mNode.mCrashes.Crashes(DigestOf(aRun)) <
-                                CrashTable::kReplicasToPause;
+/// \return whether the request may be tried at another replica after this try
+bool MayRetryElsewhere(CallRun& aRun, const TryResult& aResult) {
+  return !aResult.mReplicaEnded || aRun.mNode.mCrashes.Crashes(DigestOf(aRun)) <
+                                       CrashTable::kReplicasToPause;
 }
 
-HttpRequest Prepare(const CallRun& aRun, const std::string& aReplica,
-                    Millis aLeft) {
+HttpRequest MakeTryRequest(const CallRun& aRun, const std::string& aReplica,
+                           Millis aLeft) {
   HttpRequest request = aRun.mCall.mRequest;
   const HeaderNames& names = aRun.mNode.mHeaders;
   request.mHeaders.push_back({names.mExpectReplica, aReplica});
@@ -135,12 +138,12 @@
   return request;
 }
 
-/// The time that this try gets.
-Millis TryLimit(const CallRun& aRun, Millis aLeft) {
+/// \return the time limit of this try
+Millis TryTimeout(const CallRun& aRun, Millis aLeft) {
   if (!aRun.mAttempts.MayMoveOn()) {
     return aLeft;
   }
-  return std::min(aLeft, std::max(kMinTry, aRun.mCall.mTargetLatency));
+  return std::min(aLeft, std::max(kMinTryTimeout, aRun.mCall.mTargetLatency));
 }
 
 TryEnd EndOf(const Error& aError) {
@@ -165,37 +168,38 @@
   return ReplicaOutcome::Failed;
 }
 
-/// \return whether an answer belongs to this call
-bool Ours(const CallRun& aRun, const HttpResponse& aHead) {
+/// \return whether a response belongs to this call
+bool BelongsToCall(const CallRun& aRun, const HttpResponse& aHead) {
   const std::string* id = aHead.Find(aRun.mNode.mHeaders.mRequestId);
   if (id == nullptr) {
-    // Replicas echo the identity; a refusal may come before it was read.
+    // Replicas echo the identity; a refusal may be sent before it was read.
     return aHead.Find(aRun.mNode.mHeaders.mNotRun) != nullptr ||
            aHead.mStatus == kMisdirected;
   }
   return *id == aRun.mCall.mId;
 }
 
-bool Refusal(const CallRun& aRun, const HttpResponse& aHead) {
+bool IsRefusal(const CallRun& aRun, const HttpResponse& aHead) {
   return aHead.mStatus == kMisdirected ||
          aHead.Find(aRun.mNode.mHeaders.mNotRun) != nullptr;
 }
 
-/// Reads an answer's body, up to the size that is kept whole.
-asio::awaitable<TryResult> ReadAnswer(std::unique_ptr<HttpStream> aStream,
-                                      Millis aDue, NodeContext& aNode) {
+/// Reads a response's body, up to the size that is buffered whole.
+asio::awaitable<TryResult> ReadResponse(std::unique_ptr<HttpStream> aStream,
+                                        Millis aDue, NodeContext& aNode) {
   TryResult result;
   result.mEnd = TryEnd::Answered;
-  result.mAnswer.mHead = aStream->Head();
-  std::string& body = result.mAnswer.mHead.mBody;
-  while (body.size() < kMaxWholeBody) {
+  result.mResponse.mHead = aStream->Head();
+  std::string& body = result.mResponse.mHead.mBody;
+  while (body.size() < kMaxBufferedBody) {
     const Millis left = std::max(Millis(1), aDue - aNode.Now());
     Result<std::string> part = co_await aStream->Read(left);
     if (!part) {
       result.mEnd = part.error().Kind() == ErrorKind::Timeout ? TryEnd::TimedOut
                                                               : TryEnd::Lost;
       result.mWhy = part.error().Detail();
-      result.mClosed = part.error().Kind() == ErrorKind::ConnectionLost;
+      result.mConnectionClosed =
+          part.error().Kind() == ErrorKind::ConnectionLost;
       co_return result;
     }
     if (part->empty()) {
@@ -203,12 +207,12 @@
     }
     body += *part;
   }
-  result.mAnswer.mRest = std::move(aStream);
+  result.mResponse.mRest = std::move(aStream);
   co_return result;
 }
 
-/// A stream as its replica sends it, whose end shows whether the request has
-/// ended the replica.
+/// Passes a replica's stream through, and updates the crash records when it
+/// ends.
 class WatchedStream final : public HttpStream {
  public:
   WatchedStream(CallRun& aRun, const Replica& aReplica,
@@ -216,7 +220,7 @@
       : mNode(aRun.mNode),
         mId(aRun.mCall.mId),
         mDigest(DigestOf(aRun)),
-        mWhat(DescribeRequest(PartsOf(aRun.mCall))),
+        mDescription(DescribeRequest(PartsOf(aRun.mCall))),
         mReplica(aReplica),
         mStream(std::move(aStream)) {}
   const HttpResponse& Head() const override { return mStream->Head(); }
@@ -227,7 +231,7 @@
       ClearRequest(mNode, mDigest, mId);
     }
     if (!part && part.error().Kind() == ErrorKind::ConnectionLost) {
-      co_await BlameIfEnded(mNode, mDigest, mReplica, mId, mWhat);
+      co_await RecordCrashIfEnded(mNode, mDigest, mReplica, mId, mDescription);
     }
     co_return part;
   }
@@ -236,7 +240,7 @@
   NodeContext& mNode;
   const std::string mId;
   const RequestDigest mDigest;
-  const std::string mWhat;
+  const std::string mDescription;
   const Replica mReplica;
   const std::unique_ptr<HttpStream> mStream;
 };
@@ -244,7 +248,7 @@
 asio::awaitable<TryResult> TryOnce(CallRun& aRun, const Replica& aReplica) {
   NodeContext& node = aRun.mNode;
   const Millis left = aRun.mCall.mDeadline - node.Now();
-  const Millis limit = TryLimit(aRun, left);
+  const Millis limit = TryTimeout(aRun, left);
   const Millis due = node.Now() + limit;
   TryResult result;
   const Result<Endpoint> endpoint = Endpoint::Parse(aReplica.mAddress);
@@ -252,40 +256,42 @@
     result.mWhy = endpoint.error().Detail();
     co_return result;
   }
-  HttpRequest request = Prepare(aRun, aReplica.mId, left);
+  HttpRequest request = MakeTryRequest(aRun, aReplica.mId, left);
   Result<std::unique_ptr<HttpStream>> opened =
       co_await node.mClient.Open(*endpoint, std::move(request), limit);
   if (!opened) {
     result.mEnd = EndOf(opened.error());
     result.mWhy = opened.error().Detail();
-    result.mClosed = opened.error().Kind() == ErrorKind::ConnectionLost;
+    result.mConnectionClosed =
+        opened.error().Kind() == ErrorKind::ConnectionLost;
     co_return result;
   }
   std::unique_ptr<HttpStream> stream = std::move(*opened);
   const HttpResponse& head = stream->Head();
-  if (!Ours(aRun, head)) {
+  if (!BelongsToCall(aRun, head)) {
     result.mEnd = TryEnd::Lost;
     result.mWhy = "the answer belongs to another request";
     co_return result;
   }
   ObserveLoad(node, aReplica.mId, head);
-  if (Refusal(aRun, head)) {
+  if (IsRefusal(aRun, head)) {
     result.mEnd = TryEnd::Refused;
     result.mWhy = "refused with status " + std::to_string(head.mStatus);
     co_return result;
   }
   if (aRun.mCall.mKind == RequestKind::Streaming) {
     result.mEnd = TryEnd::Answered;
-    result.mAnswer.mHead = head;
-    result.mAnswer.mRest =
+    result.mResponse.mHead = head;
+    result.mResponse.mRest =
         std::make_unique<WatchedStream>(aRun, aReplica, std::move(stream));
     co_return result;
   }
-  co_return co_await ReadAnswer(std::move(stream), due, node);
+  co_return co_await ReadResponse(std::move(stream), due, node);
 }
 
-/// \return the digest in a try's log line: of requests that may have run and
-/// were not answered, so that it can be seen which of them ask for the same
+/// \return the digest for a try's log line, so that requests with the same
+/// content can be recognized: set for requests that may have run and were not
+/// answered
 std::string LoggedDigest(CallRun& aRun, const TryResult& aResult) {
   const bool lost =
       aResult.mEnd == TryEnd::Lost || aResult.mEnd == TryEnd::TimedOut;
@@ -299,34 +305,34 @@
       .Id(aRun.mCall.mId)
       .Text("replica", aReplica)
       .Number("try", aRun.mAttempts.Tries())
-      .Number("status", aResult.mAnswer.mHead.mStatus)
+      .Number("status", aResult.mResponse.mHead.mStatus)
       .Number("left_ms", (aRun.mCall.mDeadline - aRun.mNode.Now()).Count())
       .Text("why", aResult.mWhy)
       .Text("request", LoggedDigest(aRun, aResult))
-      .Flag("replica_ended", aResult.mEnded)
+      .Flag("replica_ended", aResult.mReplicaEnded)
       .Text("next", aStep == CallStep::Retry ? "retry"
                     : delivered              ? "deliver"
                                              : "fail")
       .Write();
 }
 
-/// Keeps a replica's own failure, in case no other replica does better.
-void KeepFailure(CallRun& aRun, TryResult& aResult) {
+/// Keeps a replica's error response, in case no other replica does better.
+void KeepFailedResponse(CallRun& aRun, TryResult& aResult) {
   if (aResult.mEnd == TryEnd::Answered) {
-    aRun.mFailedAnswer = std::move(aResult.mAnswer);
+    aRun.mFailedResponse = std::move(aResult.mResponse);
   }
 }
 
 asio::awaitable<Result<UpstreamResponse>> Run(CallRun& aRun) {
   NodeContext& node = aRun.mNode;
-  bool timeIsUp = false;
+  bool deadlinePassed = false;
   while (true) {
     const bool cancelled = co_await Cancelled();
-    timeIsUp = node.Now() >= aRun.mCall.mDeadline;
-    if (timeIsUp || cancelled) {
+    deadlinePassed = node.Now() >= aRun.mCall.mDeadline;
+    if (deadlinePassed || cancelled) {
       break;
     }
-    std::optional<Error> held = RefusalOf(aRun);
+    std::optional<Error> held = HeldError(aRun);
     if (held && aRun.mAttempts.Run() == RunState::NotRun) {
       co_return std::move(*held);
     }
@@ -334,47 +340,47 @@
       break;
     }
     const std::optional<std::string> id =
-        node.mReplicas.Choose(aRun.mWish, node.Now());
+        node.mReplicas.Choose(aRun.mRequirements, node.Now());
     if (!id) {
-      if (aRun.mWish.mExcluded.empty()) {
+      if (aRun.mRequirements.mExcluded.empty()) {
         break;
       }
-      aRun.mWish.mExcluded.clear();
+      aRun.mRequirements.mExcluded.clear();
       co_await Sleep(node.mIo, kRefusedPause);
       continue;
     }
     const Replica replica = *node.mReplicas.Find(*id);
     InFlightRequest use(node, *id);
-    RunCount count(aRun);
+    UsageCount count(aRun);
     TryResult result = co_await TryOnce(aRun, replica);
     if (result.mEnd == TryEnd::NotSent || result.mEnd == TryEnd::Refused) {
       count.NotRun();
     }
     use.End(OutcomeOf(result.mEnd));
-    co_await LearnFrom(aRun, replica, result);
-    const int status = result.mAnswer.mHead.mStatus;
+    co_await RecordOutcome(aRun, replica, result);
+    const int status = result.mResponse.mHead.mStatus;
     CallStep step = aRun.mAttempts.Take(result.mEnd, status);
-    if (step == CallStep::Retry && !MayGoOn(aRun, result)) {
+    if (step == CallStep::Retry && !MayRetryElsewhere(aRun, result)) {
       step = CallStep::Fail;
     }
     LogTry(aRun, *id, result, step);
     if (step == CallStep::Deliver) {
-      result.mAnswer.mReplica = *id;
-      result.mAnswer.mTries = aRun.mAttempts.Tries();
-      co_return std::move(result.mAnswer);
+      result.mResponse.mReplica = *id;
+      result.mResponse.mTries = aRun.mAttempts.Tries();
+      co_return std::move(result.mResponse);
     }
-    KeepFailure(aRun, result);
+    KeepFailedResponse(aRun, result);
     if (step == CallStep::Fail) {
-      timeIsUp = result.mEnd == TryEnd::TimedOut;
+      deadlinePassed = result.mEnd == TryEnd::TimedOut;
       break;
     }
     node.mMetrics.Count("upstream_retries_total");
-    aRun.mWish.mExcluded.push_back(*id);
+    aRun.mRequirements.mExcluded.push_back(*id);
   }
-  if (aRun.mFailedAnswer) {
-    co_return std::move(*aRun.mFailedAnswer);
+  if (aRun.mFailedResponse) {
+    co_return std::move(*aRun.mFailedResponse);
   }
-  co_return aRun.mAttempts.Failure(timeIsUp);
+  co_return aRun.mAttempts.Failure(deadlinePassed);
 }
 
 }  // namespace
--- a/src/librillwall_rollout/upstream_call_test.cpp
+++ b/src/librillwall_rollout/upstream_call_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of calls to services, with real connections to scripted replicas.
+/// Tests of calls to services, over real connections to scripted replicas.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,29 +11,29 @@
 
 class UpstreamCallTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(UpstreamCallTest);
-  CPPUNIT_TEST(SendsWhatTheReplicaNeeds);
+  CPPUNIT_TEST(SendsRequiredHeaders);
   CPPUNIT_TEST(IdempotentGoesToAnotherReplica);
   CPPUNIT_TEST(NonIdempotentIsNotSentTwice);
   CPPUNIT_TEST(RefusedByAllIsNotRun);
   CPPUNIT_TEST(AnswerOfAnotherRequestIsNotDelivered);
   CPPUNIT_TEST(SilentReplicaCostsOneTry);
-  CPPUNIT_TEST(TimeUpIsNoRefusal);
-  CPPUNIT_TEST(SuspendedHostTriesNoMore);
-  CPPUNIT_TEST(OwnFailureIsDeliveredIfNoneIsBetter);
+  CPPUNIT_TEST(TimeoutIsNotARefusal);
+  CPPUNIT_TEST(NoRetryAfterASuspension);
+  CPPUNIT_TEST(ReplicaErrorIsDeliveredIfAllFail);
   CPPUNIT_TEST(UnreachableIsNotRun);
   CPPUNIT_TEST(NoReplicaIsNotRun);
-  CPPUNIT_TEST(ReplicaThatEndsIsHeldAgainstTheRequest);
-  CPPUNIT_TEST(ClosedConnectionIsHeldAgainstNobody);
-  CPPUNIT_TEST(SecondEndIsNotFollowedByAThirdTry);
+  CPPUNIT_TEST(EndedReplicaIsRecordedAsACrash);
+  CPPUNIT_TEST(ClosedConnectionIsNoCrash);
+  CPPUNIT_TEST(NoThirdTryAfterTwoCrashes);
   CPPUNIT_TEST(HeldRequestIsRefusedAtOnce);
   CPPUNIT_TEST(OtherRequestsAreServed);
   CPPUNIT_TEST(AnswerClearsTheRequest);
   CPPUNIT_TEST(ErrorClearsNothing);
-  CPPUNIT_TEST(EndWithinAStreamCounts);
-  CPPUNIT_TEST(WholeStreamClears);
-  CPPUNIT_TEST(ErrorStatusTellsTheTruth);
-  CPPUNIT_TEST(ConnectionHeadersStay);
-  CPPUNIT_TEST(ToldLoadMayHaveMoreFigures);
+  CPPUNIT_TEST(EndWithinAStreamIsACrash);
+  CPPUNIT_TEST(WholeStreamClearsTheRequest);
+  CPPUNIT_TEST(ErrorStatusMatchesTheRunState);
+  CPPUNIT_TEST(ConnectionHeadersAreNotForwarded);
+  CPPUNIT_TEST(LoadHeaderMayHaveMoreFields);
   CPPUNIT_TEST_SUITE_END();
 
   TestWorld mWorld;
@@ -69,11 +69,11 @@
   }
   size_t Sent() const { return mOne.mRequests.size() + mTwo.mRequests.size(); }
   void Both(const ReplicaScript& aScript) {
-    mOne.mOtherwise = aScript;
-    mTwo.mOtherwise = aScript;
+    mOne.mDefaultScript = aScript;
+    mTwo.mDefaultScript = aScript;
   }
 
-  void ToldLoadMayHaveMoreFigures() {
+  void LoadHeaderMayHaveMoreFields() {
     mTest.mNode.mHeaders.mReplicaLoad = "Load";
     HttpResponse head;
     head.mHeaders = {{"Load", "7,1,8,100"}};
@@ -89,7 +89,7 @@
                          *mTest.mNode.mReplicas.Choose(wish, now));
   }
 
-  void SendsWhatTheReplicaNeeds() {
+  void SendsRequiredHeaders() {
     const auto answer = Call(RequestKind::NonIdempotent, 1);
     CPPUNIT_ASSERT_EQUAL(200, answer->mHead.mStatus);
     const ScriptedReplica& used = mOne.mRequests.empty() ? mTwo : mOne;
@@ -103,8 +103,8 @@
   void IdempotentGoesToAnotherReplica() {
     for (const int status : {500, 503}) {
       const bool notRun = status == 503;
-      mOne.mOtherwise = {status, notRun};
-      mTwo.mOtherwise = {};
+      mOne.mDefaultScript = {status, notRun};
+      mTwo.mDefaultScript = {};
       const auto answer = Call(RequestKind::Idempotent, 2);
       CPPUNIT_ASSERT_EQUAL(std::string("two"), answer->mReplica);
       CPPUNIT_ASSERT_EQUAL(200, answer->mHead.mStatus);
@@ -113,7 +113,7 @@
 
   void NonIdempotentIsNotSentTwice() {
     ReplicaScript lost;
-    lost.mOtherId = true;
+    lost.mWrongId = true;
     Both(lost);
     const auto answer = Call(RequestKind::NonIdempotent, 4);
     CPPUNIT_ASSERT(answer.error().Run() == RunState::Unknown);
@@ -130,19 +130,19 @@
 
   void AnswerOfAnotherRequestIsNotDelivered() {
     ReplicaScript other;
-    other.mOtherId = true;
+    other.mWrongId = true;
     Both(other);
     CPPUNIT_ASSERT(!Call(RequestKind::Idempotent, 2));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Sent());
   }
 
   void SilentReplicaCostsOneTry() {
-    mOne.mOtherwise.mSilent = true;
+    mOne.mDefaultScript.mSilent = true;
     const auto answer = Call(RequestKind::Idempotent, 2);
     CPPUNIT_ASSERT_EQUAL(std::string("two"), answer->mReplica);
   }
 
-  void TimeUpIsNoRefusal() {
+  void TimeoutIsNotARefusal() {
     ReplicaScript silent;
     silent.mSilent = true;
     Both(silent);
@@ -152,11 +152,11 @@
     CPPUNIT_ASSERT_EQUAL(504, ErrorAnswer(answer.error()).mStatus);
   }
 
-  // Its caller's time was over while the host stood still.
-  void SuspendedHostTriesNoMore() {
+  // The caller's deadline passes while the host is suspended.
+  void NoRetryAfterASuspension() {
     Both({500, false});
-    mOne.mOtherwise.mSilent = true;
-    mTwo.mOtherwise.mSilent = true;
+    mOne.mDefaultScript.mSilent = true;
+    mTwo.mDefaultScript.mSilent = true;
     bool suspended = false;
     Launch(mTest.mIo, "suspend",
            [](UpstreamCallTest& aTest, bool& aDone) -> asio::awaitable<void> {
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Sent());
   }
 
-  void OwnFailureIsDeliveredIfNoneIsBetter() {
+  void ReplicaErrorIsDeliveredIfAllFail() {
     Both({500, false});
     const auto answer = Call(RequestKind::Idempotent, 2);
     CPPUNIT_ASSERT_EQUAL(500, answer->mHead.mStatus);
@@ -201,14 +201,15 @@
         RequestParts{"POST", "", "/p", "", call.mRequest.mBody});
   }
   size_t Crashes() { return mTest.mNode.mCrashes.Crashes(Digest()); }
-  /// Records that another host made and told.
-  void Tell(int aReplicas) {
+  /// Adds crash records of another host.
+  void MergeCrashes(int aReplicas) {
     for (int i = 0; i < aReplicas; ++i) {
       mTest.mNode.mCrashes.Merge(
           {{Digest(), "other" + std::to_string(i), WallClockMs(), false, ""}});
     }
   }
-  /// Reads a stream to its end. \return whether that was a proper one
+  /// Reads a stream to its end.
+  /// \return whether it ended properly
   bool ReadToEnd(HttpStream& aStream) {
     while (true) {
       const Result<std::string> part = mTest.Run(aStream.Read(Millis(2000)));
@@ -218,16 +219,16 @@
     }
   }
 
-  void ReplicaThatEndsIsHeldAgainstTheRequest() {
-    mOne.mOtherwise.mEnds = true;
-    mTwo.mOtherwise.mEnds = true;
+  void EndedReplicaIsRecordedAsACrash() {
+    mOne.mDefaultScript.mProcessEnds = true;
+    mTwo.mDefaultScript.mProcessEnds = true;
     const auto answer = Call(RequestKind::NonIdempotent, 1);
     CPPUNIT_ASSERT(answer.error().Run() == RunState::Unknown);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Crashes());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTest.mNode.mCrashes.Unsaved(9).size());
   }
 
-  void ClosedConnectionIsHeldAgainstNobody() {
+  void ClosedConnectionIsNoCrash() {
     Both({200, false, false, false, false, 1});
     mOne.mStreams = true;
     mTwo.mStreams = true;
@@ -236,19 +237,19 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Crashes());
   }
 
-  void SecondEndIsNotFollowedByAThirdTry() {
+  void NoThirdTryAfterTwoCrashes() {
     ScriptedReplica three(mWorld.mIo, "three", TestHeaders());
     three.mStreams = false;
     mTest.Add(three, "s");
     Both({200, false, false, false, true});
-    three.mOtherwise.mEnds = true;
+    three.mDefaultScript.mProcessEnds = true;
     const auto answer = Call(RequestKind::Idempotent, 3);
     CPPUNIT_ASSERT(answer.error().Run() == RunState::Unknown);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Sent() + three.mRequests.size());
   }
 
   void HeldRequestIsRefusedAtOnce() {
-    Tell(3);
+    MergeCrashes(3);
     for (const RequestKind kind :
          {RequestKind::Idempotent, RequestKind::NonIdempotent,
           RequestKind::Streaming}) {
@@ -262,7 +263,7 @@
   }
 
   void OtherRequestsAreServed() {
-    Tell(3);
+    MergeCrashes(3);
     UpstreamCall call = CallOf(RequestKind::Idempotent, 1);
     call.mRequest.mBody = "another";
     CPPUNIT_ASSERT_EQUAL(
@@ -274,15 +275,16 @@
   }
 
   void AnswerClearsTheRequest() {
-    Tell(2);
+    MergeCrashes(2);
     CPPUNIT_ASSERT_EQUAL(200, Call(RequestKind::Idempotent, 1)->mHead.mStatus);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Crashes());
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mTest.mNode.mCrashes.Unsaved(9).size());
   }
 
-  // As when the replica's time for it was up before it would have ended.
+  // The replica may have answered because its time for the request ran out
+  // before it would have ended.
   void ErrorClearsNothing() {
-    Tell(2);
+    MergeCrashes(2);
     for (const int status : {500, 504}) {
       Both({status, false});
       Call(RequestKind::NonIdempotent, 1);
@@ -290,7 +292,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Crashes());
   }
 
-  void EndWithinAStreamCounts() {
+  void EndWithinAStreamIsACrash() {
     mOne.mStreams = true;
     mTwo.mStreams = true;
     Both({200, false, false, false, false, -1, -1, Millis(200)});
@@ -298,13 +300,13 @@
     ScriptedReplica& used = answer->mReplica == "one" ? mOne : mTwo;
     CPPUNIT_ASSERT(mTest.Run(answer->mRest->Read(Millis(2000))).has_value());
     used.Stop();
-    mTest.RunFor(Millis(20));  // it stops listening on its own thread
+    mTest.RunFor(Millis(20));  // the replica stops listening on its own thread
     CPPUNIT_ASSERT(!ReadToEnd(*answer->mRest));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Crashes());
   }
 
-  void WholeStreamClears() {
-    Tell(2);
+  void WholeStreamClearsTheRequest() {
+    MergeCrashes(2);
     mOne.mStreams = true;
     mTwo.mStreams = true;
     const auto answer = Call(RequestKind::Streaming, 1);
@@ -313,7 +315,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Crashes());
   }
 
-  void ErrorStatusTellsTheTruth() {
+  void ErrorStatusMatchesTheRunState() {
     const Error unknown(ErrorKind::Overloaded, "x", RunState::Unknown);
     CPPUNIT_ASSERT_EQUAL(502, ErrorAnswer(unknown).mStatus);
     const Error refused(ErrorKind::Overloaded, "x", RunState::NotRun);
@@ -322,7 +324,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("0.250"), *answer.Find("Retry-After"));
   }
 
-  void ConnectionHeadersStay() {
+  void ConnectionHeadersAreNotForwarded() {
     const auto kept = EndToEndHeaders(
         {{"Connection", "close, X-Hop"}, {"x-hop", "1"}, {"X-Own", "2"}});
     CPPUNIT_ASSERT_EQUAL(size_t{1}, kept.size());
--- a/src/librillwall_rollout/usage_reporter.cpp
+++ b/src/librillwall_rollout/usage_reporter.cpp
@@ -8,23 +8,24 @@
 
 namespace {
 
-/// Look at what is due: far under the time that a report has.
+/// How often to check what is due; far shorter than the time that a report has.
 constexpr Millis kTick{100};
-/// A request that was sent in a window is counted once it is answered; its host
-/// then tells it with its next question. Clients of plain requests wait 1.5 s.
-constexpr Millis kSettle{1600};
-/// A host that began to hear of a new lead tells it everything with its next
-/// question but one.
-constexpr Millis kTakeOver{2500};
-/// Share of the time that a report has, in percent, after which it is fixed
-/// whoever has not told: the rest is for an outage of the store or of the
-/// platform that has just begun.
-constexpr int64_t kLastPercent = 70;
+/// A request that was sent in a window is counted once it is answered, and its
+/// host tells the count with its next question. Clients of plain requests wait
+/// 1.5 s.
+constexpr Millis kSettleDelay{1600};
+/// Within this time every host has learned of a new lead and told it all
+/// counts, with its second question at the latest.
+constexpr Millis kTakeoverDelay{2500};
+/// Percentage of the report delay after which a report is fixed even if hosts
+/// are missing. The rest covers an outage of the store or of the platform that
+/// has just begun.
+constexpr int64_t kForcedFixPercent = 70;
 constexpr int64_t kPercent = 100;
-/// Reports are sent until they are so many times as late as they may be: a late
-/// one is of use to the customer's bill still.
-constexpr int64_t kKeepTimes = 4;
-/// Before a report that was refused, or got no answer, is sent again.
+/// A report is sent until it is this many report delays old: a late report is
+/// still of use for billing.
+constexpr int64_t kRetryFactor = 4;
+/// Pauses before a report that was refused or not answered is sent again.
 constexpr Millis kFirstPause{150};
 constexpr Millis kLongestPause{1000};
 
@@ -62,8 +63,8 @@
         continue;
       }
     }
-    if (MayFix(mNext)) {
-      co_await Fix();
+    if (MayFixReport(mNext)) {
+      co_await FixReport();
     }
     co_await Send();
     ForgetOld();
@@ -86,9 +87,11 @@
       mFixed[report->mWindow] = {*report};
     }
   }
-  // Go on after the last one. Of windows that ended long ago hosts keep no
-  // counts; and those before the first were nobody's duty.
-  const Millis back = mFixed.empty() ? mLate : mLate * kKeepTimes;
+  // Continue after the last fixed window. Hosts keep no counts of windows that
+  // ended long ago, and windows before the first one did not have to be
+  // reported.
+  const Millis back =
+      mFixed.empty() ? mReportDelay : mReportDelay * kRetryFactor;
   mNext = mNode.mUsage.WindowAt(mNode.mTimeOfDay() - back.Count());
   if (!mFixed.empty()) {
     mNext = std::max(mNext, mFixed.rbegin()->first + 1);
@@ -103,19 +106,20 @@
   co_return true;
 }
 
-bool UsageReporter::MayFix(int64_t aWindow) const {
+bool UsageReporter::MayFixReport(int64_t aWindow) const {
   const Millis past(mNode.mTimeOfDay() - mNode.mUsage.EndOf(aWindow));
   const Millis now = mNode.Now();
-  if (past < kSettle) {
+  if (past < kSettleDelay) {
     return false;
   }
-  const bool last = past >= mLate * kLastPercent / kPercent;
-  const bool known = now - mLeadingSince >= kTakeOver;
-  return last || (known && mBook.AllHeardSince(now - past + kSettle, now));
+  const bool forced = past >= mReportDelay * kForcedFixPercent / kPercent;
+  const bool known = now - mLeadingSince >= kTakeoverDelay;
+  return forced ||
+         (known && mBook.AllHeardSince(now - past + kSettleDelay, now));
 }
 
 UsageReport UsageReporter::Collect() {
-  // A lead that takes requests itself tells itself.
+  // A lead that accepts client requests itself adds its own counts.
   const std::string& run = mNode.mIdentity.mRun;
   mBook.Told(run, mNode.mUsage.Untold(run));
   mNode.mUsage.Told();
@@ -128,21 +132,21 @@
   change.mGuards = {mLead.Guard(), {key, 0}};
   change.mPuts.push_back({key, EncodeUsageReport(aReport), 0});
   for (const auto& [window, fixed] : mFixed) {
-    if (fixed.mTaken) {
+    if (fixed.mAccepted) {
       change.mRemoves.push_back(UsageKey(window));
     }
   }
   return change;
 }
 
-asio::awaitable<void> UsageReporter::Fix() {
+asio::awaitable<void> UsageReporter::FixReport() {
   UsageReport report = Collect();
   const int64_t fence = mFence;
   const Result<StoreCommit> done =
       co_await mNode.mStore.Commit(FixingChange(report));
   if (!done || fence != mLead.Fence()) {
-    // Made again at the next look, or by the next holder. If it was done, the
-    // key is there then.
+    // The next tick or the next holder tries again. If the change was applied,
+    // the key is there then.
     co_return;
   }
   if (!done->mApplied) {
@@ -152,14 +156,14 @@
             ? Error(ErrorKind::Stale, "The lead's claim has changed hands.")
             : DecodeUsageReport(before->mValue);
     if (!known) {
-      // What is fixed is read anew if this host still leads.
+      // Read the fixed reports again if this host still leads.
       mFence = 0;
       co_return;
     }
     report = *known;
   }
   std::erase_if(mFixed,
-                [](const auto& aEntry) { return aEntry.second.mTaken; });
+                [](const auto& aEntry) { return aEntry.second.mAccepted; });
   LogFixed(report, done->mApplied);
   mFixed[mNext] = {std::move(report)};
   ++mNext;
@@ -183,10 +187,10 @@
 }
 
 asio::awaitable<void> UsageReporter::Send() {
-  // Copied, as the answer comes later than another change may.
+  // Copied, as mFixed may change while a call is under way.
   std::vector<int64_t> due;
   for (const auto& [window, fixed] : mFixed) {
-    if (!fixed.mTaken && mNode.Now() >= fixed.mNextTry) {
+    if (!fixed.mAccepted && mNode.Now() >= fixed.mNextTry) {
       due.push_back(window);
     }
   }
@@ -194,12 +198,12 @@
     if (!mLead.MayOrder() || mFence != mLead.Fence()) {
       co_return;
     }
-    Fixed& fixed = mFixed[window];
+    FixedReport& fixed = mFixed[window];
     FencingToken claim{mNode.mIdentity.mName, mLead.Fence()};
     const std::optional<Error> failed =
         co_await mPort.Report(fixed.mReport, std::move(claim));
     ++fixed.mTries;
-    fixed.mTaken = !failed;
+    fixed.mAccepted = !failed;
     const Millis pause = FailurePause(fixed.mTries, kFirstPause, kLongestPause);
     fixed.mNextTry = mNode.Now() + mJitter.HalfToAll(pause);
     Event("usage-reported")
@@ -207,29 +211,29 @@
         .Number("fence", mFence)
         .Number("tries", fixed.mTries)
         .Number("after_ms", mNode.mTimeOfDay() - mNode.mUsage.EndOf(window))
-        .Flag("taken", fixed.mTaken)
+        .Flag("taken", fixed.mAccepted)
         .Text("why", failed ? failed->Detail() : "")
         .Write();
-    mNode.mMetrics.Count("usage_reports_total", fixed.mTaken
+    mNode.mMetrics.Count("usage_reports_total", fixed.mAccepted
                                                     ? "outcome=\"taken\""
                                                     : "outcome=\"open\"");
   }
 }
 
 void UsageReporter::ForgetOld() {
-  const int64_t oldest =
-      mNode.mUsage.WindowAt(mNode.mTimeOfDay() - mLate.Count() * kKeepTimes);
+  const int64_t oldest = mNode.mUsage.WindowAt(
+      mNode.mTimeOfDay() - mReportDelay.Count() * kRetryFactor);
   mBook.Forget(oldest, mNode.Now());
   std::erase_if(mFixed, [&](const auto& aEntry) {
     const bool old = aEntry.first < oldest;
-    if (old && !aEntry.second.mTaken) {
+    if (old && !aEntry.second.mAccepted) {
       Event("usage-unreported")
           .Number("window", aEntry.first)
           .Number("tries", aEntry.second.mTries)
           .Write();
       mNode.mMetrics.Count("usage_reports_total", "outcome=\"given-up\"");
     }
-    return old && !aEntry.second.mTaken;
+    return old && !aEntry.second.mAccepted;
   });
 }
 
--- a/src/librillwall_rollout/usage_reporter_test.cpp
+++ b/src/librillwall_rollout/usage_reporter_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Tests of the duty of reporting usage: what is reported, once, by whom.
+/// Tests of usage reports: their content, that each is sent once, and the claim
+/// that they are sent under.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,20 +12,20 @@
 namespace {
 
 constexpr Millis kWindow{5000};
-constexpr Millis kLate{10000};
-/// Window 100 begins there.
+constexpr Millis kReportDelay{10000};
+/// Start of window 100, in ms.
 constexpr int64_t kBegin = 500000;
 const NodeEntry kEntry{"10.0.0.1:1", true};
 
-/// The platform, as far as it takes reports.
+/// A platform that records the reports it receives.
 class FakePlatform final : public UsagePort {
  public:
   asio::awaitable<std::optional<Error>> Report(UsageReport aReport,
                                                FencingToken aClaim) override {
     mReports.push_back(aReport);
     mClaims.push_back(aClaim);
-    if (mLost > 0) {
-      --mLost;
+    if (mLostAnswers > 0) {
+      --mLostAnswers;
       co_return Error(ErrorKind::Timeout, "no answer", RunState::Unknown);
     }
     co_return std::nullopt;
@@ -37,7 +38,7 @@
 
   std::vector<UsageReport> mReports;
   std::vector<FencingToken> mClaims;
-  int mLost = 0;  ///< answers of the next reports
+  int mLostAnswers = 0;  ///< number of next reports whose answers are lost
 };
 
 /// A host that may lead.
@@ -50,18 +51,18 @@
     node.mBounds.mLease = Millis(50);
     node.mUsage.SetWindow(kWindow);
     node.mTimeOfDay = [&aTimeOfDay] { return aTimeOfDay; };
-    mDuty.SetReportDelay(kLate);
+    mReporter.SetReportDelay(kReportDelay);
     Launch(mTest.mIo, "lead", mLead.Run());
-    Launch(mTest.mIo, "usage", mDuty.Run());
+    Launch(mTest.mIo, "usage", mReporter.Run());
   }
-  void Tell(const std::string& aRun, const WindowCounts& aCounts) {
-    mDuty.Take(kEntry, EncodeToldUsage({aRun, aCounts}));
+  void ReportCounts(const std::string& aRun, const WindowCounts& aCounts) {
+    mReporter.Take(kEntry, EncodeToldUsage({aRun, aCounts}));
   }
 
   TestNode mTest;
   LeadClaim mLead{mTest.mNode, [] {}};
   FakePlatform mPlatform;
-  UsageReporter mDuty{mTest.mNode, mLead, mPlatform};
+  UsageReporter mReporter{mTest.mNode, mLead, mPlatform};
 };
 
 }  // namespace
@@ -69,20 +70,19 @@
 class UsageReporterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(UsageReporterTest);
   CPPUNIT_TEST(WindowIsReportedOnceUnderTheClaim);
-  CPPUNIT_TEST(NothingIsReportedBeforeHostsHaveTold);
-  CPPUNIT_TEST(SilentHostIsNotWaitedForTooLong);
+  CPPUNIT_TEST(NothingIsReportedBeforeHostsReport);
+  CPPUNIT_TEST(ReportIsFixedWithoutASilentHost);
   CPPUNIT_TEST(LostAnswerRepeatsTheSameReport);
-  CPPUNIT_TEST(NextHolderSendsWhatWasFixed);
-  CPPUNIT_TEST(StoreThatIsAwayDelaysAReport);
-  CPPUNIT_TEST(BrokenTellingIsIgnored);
-  CPPUNIT_TEST(NoWindowsNoReports);
+  CPPUNIT_TEST(NextHolderSendsTheFixedReport);
+  CPPUNIT_TEST(UnavailableStoreDelaysAReport);
+  CPPUNIT_TEST(UndecodableCountsAreIgnored);
+  CPPUNIT_TEST(NoReportsWithoutWindows);
   CPPUNIT_TEST_SUITE_END();
 
   TestWorld mWorld;
   int64_t mTimeOfDay = kBegin + 1000;
 
-  /// Passes the time of day at which windows end, for a host that has just
-  /// asked.
+  /// Advances the time of day by whole windows.
   void PassWindows(int64_t aCount) { mTimeOfDay += aCount * kWindow.Count(); }
 
  public:
@@ -91,8 +91,8 @@
  private:
   void WindowIsReportedOnceUnderTheClaim() {
     Candidate one(mWorld, "one", mTimeOfDay);
-    one.Tell("h1", {{100, {{"a", 2}}}});
-    one.Tell("h2", {{100, {{"a", 1}, {"b", 4}}}});
+    one.ReportCounts("h1", {{100, {{"a", 2}}}});
+    one.ReportCounts("h2", {{100, {{"a", 1}, {"b", 4}}}});
     PassWindows(2);
     mTimeOfDay += 2000;
     one.mTest.RunUntil([&] { return one.mPlatform.CountOf(100) > 0; });
@@ -107,31 +107,31 @@
     CPPUNIT_ASSERT(claim == one.mPlatform.mClaims.front());
   }
 
-  void NothingIsReportedBeforeHostsHaveTold() {
+  void NothingIsReportedBeforeHostsReport() {
     Candidate one(mWorld, "one", mTimeOfDay);
-    one.Tell("h1", {{100, {{"a", 2}}}});
+    one.ReportCounts("h1", {{100, {{"a", 2}}}});
     one.mTest.RunUntil([&] { return one.mLead.MayOrder(); });
-    // Its window has just ended, and no host has asked since.
+    // The window has just ended, and no host has asked since.
     mTimeOfDay = kBegin + kWindow.Count() + 2000;
     one.mTest.RunFor(Millis(400));
     CPPUNIT_ASSERT_EQUAL(size_t{0}, one.mPlatform.CountOf(100));
   }
 
-  void SilentHostIsNotWaitedForTooLong() {
+  void ReportIsFixedWithoutASilentHost() {
     Candidate one(mWorld, "one", mTimeOfDay);
-    one.Tell("h1", {{100, {{"a", 2}}}});
-    mTimeOfDay = kBegin + kWindow.Count() + kLate.Count() * 7 / 10;
+    one.ReportCounts("h1", {{100, {{"a", 2}}}});
+    mTimeOfDay = kBegin + kWindow.Count() + kReportDelay.Count() * 7 / 10;
     one.mTest.RunUntil([&] { return one.mPlatform.CountOf(100) == 1; });
   }
 
   void LostAnswerRepeatsTheSameReport() {
     Candidate one(mWorld, "one", mTimeOfDay);
-    one.mPlatform.mLost = 3;
-    one.Tell("h1", {{100, {{"a", 2}}}});
-    mTimeOfDay = kBegin + kWindow.Count() + kLate.Count() * 8 / 10;
+    one.mPlatform.mLostAnswers = 3;
+    one.ReportCounts("h1", {{100, {{"a", 2}}}});
+    mTimeOfDay = kBegin + kWindow.Count() + kReportDelay.Count() * 8 / 10;
     one.mTest.RunUntil([&] { return one.mPlatform.CountOf(100) == 1; });
-    // A late teller changes nothing any more.
-    one.Tell("h2", {{100, {{"a", 7}}}});
+    // Counts that arrive after the report was fixed do not change it.
+    one.ReportCounts("h2", {{100, {{"a", 7}}}});
     one.mTest.RunUntil([&] { return one.mPlatform.CountOf(100) >= 2; });
     for (const UsageReport& report : one.mPlatform.mReports) {
       const AccountCounts expected{{"a", 2}};
@@ -139,18 +139,18 @@
     }
   }
 
-  /// The holder dies in the middle of a report.
-  void NextHolderSendsWhatWasFixed() {
+  /// The holder ends in the middle of a report.
+  void NextHolderSendsTheFixedReport() {
     {
       Candidate one(mWorld, "one", mTimeOfDay);
-      one.mPlatform.mLost = 1000;
-      one.Tell("h1", {{100, {{"a", 2}}}});
-      mTimeOfDay = kBegin + kWindow.Count() + kLate.Count() * 8 / 10;
+      one.mPlatform.mLostAnswers = 1000;
+      one.ReportCounts("h1", {{100, {{"a", 2}}}});
+      mTimeOfDay = kBegin + kWindow.Count() + kReportDelay.Count() * 8 / 10;
       one.mTest.RunUntil([&] { return one.mPlatform.CountOf(100) > 0; });
     }
     mWorld.mStore.Lapse(101);
     Candidate two(mWorld, "two", mTimeOfDay);
-    two.Tell("h1", {{100, {{"a", 2}, {"late", 1}}}});
+    two.ReportCounts("h1", {{100, {{"a", 2}, {"late", 1}}}});
     two.mTest.RunUntil([&] { return two.mPlatform.CountOf(100) > 0; });
     const AccountCounts expected{{"a", 2}};
     for (const UsageReport& report : two.mPlatform.mReports) {
@@ -158,31 +158,31 @@
     }
   }
 
-  void StoreThatIsAwayDelaysAReport() {
+  void UnavailableStoreDelaysAReport() {
     Candidate one(mWorld, "one", mTimeOfDay);
     one.mTest.RunUntil([&] { return one.mLead.MayOrder(); });
     one.mTest.RunFor(Millis(300));
     mWorld.mStore.mFaults = {StoreFault::LostDropped, StoreFault::LostApplied};
-    one.Tell("h1", {{100, {{"a", 2}}}});
-    mTimeOfDay = kBegin + kWindow.Count() + kLate.Count() * 8 / 10;
+    one.ReportCounts("h1", {{100, {{"a", 2}}}});
+    mTimeOfDay = kBegin + kWindow.Count() + kReportDelay.Count() * 8 / 10;
     one.mTest.RunUntil([&] { return one.mPlatform.CountOf(100) > 0; });
     const AccountCounts expected{{"a", 2}};
     CPPUNIT_ASSERT(expected == one.mPlatform.mReports.back().mCounts ||
                    one.mPlatform.mReports.back().mWindow != 100);
   }
 
-  void BrokenTellingIsIgnored() {
+  void UndecodableCountsAreIgnored() {
     Candidate one(mWorld, "one", mTimeOfDay);
-    one.mDuty.Take(kEntry, "no JSON");
-    one.mDuty.Take(kEntry, R"({"run":"r","windows":[{"window":100}]})");
-    mTimeOfDay = kBegin + kWindow.Count() + kLate.Count() * 8 / 10;
+    one.mReporter.Take(kEntry, "no JSON");
+    one.mReporter.Take(kEntry, R"({"run":"r","windows":[{"window":100}]})");
+    mTimeOfDay = kBegin + kWindow.Count() + kReportDelay.Count() * 8 / 10;
     one.mTest.RunUntil([&] { return one.mPlatform.CountOf(100) > 0; });
     for (const UsageReport& report : one.mPlatform.mReports) {
       CPPUNIT_ASSERT(report.mCounts.empty());
     }
   }
 
-  void NoWindowsNoReports() {
+  void NoReportsWithoutWindows() {
     Candidate one(mWorld, "one", mTimeOfDay);
     one.mTest.mNode.mUsage.SetWindow(Millis(0));
     PassWindows(5);
--- a/src/librillwall_rollout/view_exchange.cpp
+++ b/src/librillwall_rollout/view_exchange.cpp
@@ -15,32 +15,35 @@
 
 namespace {
 
-/// A node that was asked in the lead's place goes on reading the store for so
-/// long: some questions later, whoever asked has come again or found the lead.
-constexpr Millis kHelpFor{5000};
-/// Answers kept as text: the marks of listeners that are some changes behind.
-constexpr size_t kMaxTexts = 64;
-/// The operator's text may have some hundred KB.
-constexpr Millis kConfigLimit{1000};
-/// Far over what operators write: some thousand routes and accounts.
+/// How long a node goes on reading the store after it was asked in place of the
+/// lead: some questions later, each node that asked has asked again or found
+/// the lead.
+constexpr Millis kHelpDuration{5000};
+/// Limit for encoded answers: they differ for nodes that are some changes
+/// behind.
+constexpr size_t kMaxCachedAnswers = 64;
+/// The configuration may have some hundred KB.
+constexpr Millis kConfigTimeout{1000};
+/// Far above real configurations, which have some thousand routes and accounts.
 constexpr size_t kMaxConfigBytes = 64 * 1024 * 1024;
-/// For one node to reach another.
-constexpr Millis kReachLimit{250};
-/// Nodes asked whether they reach one that does not answer here.
-constexpr size_t kWitnesses = 3;
+/// Time limit for one node to reach another.
+constexpr Millis kReachTimeout{250};
+/// Nodes that are asked whether they reach a node that this one does not.
+constexpr size_t kPeersAsked = 3;
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
 constexpr char kRevisionHeader[] = "Rillwall-Revision";
-/// In answers: age of the list in ms. Not in the text, which is shared by all
-/// who are at the same mark.
+/// In answers: age of the list in ms. It is a header, as all nodes with the
+/// same cursor share one body.
 constexpr char kAgeHeader[] = "Rillwall-View-Age";
-/// In answers with status 503: the store does not answer that node.
-constexpr char kAwayHeader[] = "Rillwall-Store-Away";
-/// In answers: the usage that came with the question is kept.
+/// In answers with status 503: the store does not answer the node.
+constexpr char kStoreAwayHeader[] = "Rillwall-Store-Away";
+/// In answers: the usage counts that came with the question are recorded.
 constexpr char kUsageTakenHeader[] = "Rillwall-Usage-Taken";
-/// Then a lead that is late is looked for in the store: it may have changed.
-constexpr int kMissesOfALead = 3;
+/// After this many misses of a late lead the store is asked for the lead, as it
+/// may have changed.
+constexpr int kMissesBeforeLookUp = 3;
 
 }  // namespace
 
@@ -53,27 +56,27 @@
 
 void ViewExchange::Listed(const std::vector<Replica>& aReplicas,
                           Millis aAsked) {
-  const int64_t before = mLog.Number();
+  const int64_t before = mReplicaLog.Number();
   mTable = nullptr;
-  mLog.Take(aReplicas);
-  mLogWithoutWeights.Take(WithoutVersions(aReplicas));
-  NoteListed(aAsked);
-  if (mLog.Number() != before) {
-    mTexts.clear();
+  mReplicaLog.Take(aReplicas);
+  mReplicaLogWithoutVersions.Take(WithoutVersions(aReplicas));
+  RecordListing(aAsked);
+  if (mReplicaLog.Number() != before) {
+    mCachedAnswers.clear();
   }
 }
 
 void ViewExchange::Configured(ConfigText aConfig) {
   mPackedConfig.clear();
   mConfig = std::move(aConfig);
-  mTexts.clear();
+  mCachedAnswers.clear();
 }
 
 void ViewExchange::Evacuated(std::set<std::string> aZones) {
   if (!mNode.mReplicas.Evacuate(std::move(aZones))) {
     return;
   }
-  mTexts.clear();
+  mCachedAnswers.clear();
   std::string named;
   for (const std::string& zone : mNode.mReplicas.EvacuatedZones()) {
     named += named.empty() ? zone : "," + zone;
@@ -83,41 +86,42 @@
 
 void ViewExchange::Follows(bool aFollows) {
   mFollows = aFollows;
-  mTexts.clear();
+  mCachedAnswers.clear();
 }
 
 bool ViewExchange::Helping() const {
-  return mHelpAskedAt && mNode.Now() - *mHelpAskedAt < kHelpFor;
+  return mHelpAskedAt && mNode.Now() - *mHelpAskedAt < kHelpDuration;
 }
 
-const std::string& ViewExchange::Text(const AnswerKey& aKey) {
-  const bool same =
-      mTextsLead == mLead.Known() && mTextsNodes == mNodes.Tag() &&
-      mTextsHosts == CountedHosts() && mTextsCrashes == mNode.mCrashes.Number();
-  if (!same || mTexts.size() >= kMaxTexts) {
-    mTexts.clear();
-    mTextsLead = mLead.Known();
-    mTextsNodes = mNodes.Tag();
-    mTextsHosts = CountedHosts();
-    mTextsCrashes = mNode.mCrashes.Number();
-  }
-  std::string& text = mTexts[aKey];
+const std::string& ViewExchange::CachedAnswer(const AnswerKey& aKey) {
+  const bool same = mCachedLead == mLead.Known() &&
+                    mCachedNodesTag == mNodes.Tag() &&
+                    mCachedHostCount == HostCount() &&
+                    mCachedCrashNumber == mNode.mCrashes.Number();
+  if (!same || mCachedAnswers.size() >= kMaxCachedAnswers) {
+    mCachedAnswers.clear();
+    mCachedLead = mLead.Known();
+    mCachedNodesTag = mNodes.Tag();
+    mCachedHostCount = HostCount();
+    mCachedCrashNumber = mNode.mCrashes.Number();
+  }
+  std::string& text = mCachedAnswers[aKey];
   if (text.empty()) {
     SharedView view;
     view.mRun = mNode.mIdentity.mRun;
     view.mVersions = aKey.mVersions;
-    view.mReplicas =
-        (aKey.mVersions ? mLog : mLogWithoutWeights).Since(aKey.mKnown);
-    AddCommon(view, aKey.mCrashes, aKey.mNodes);
+    view.mReplicas = (aKey.mVersions ? mReplicaLog : mReplicaLogWithoutVersions)
+                         .Since(aKey.mKnown);
+    AddCommonFields(view, aKey.mCrashes, aKey.mNodes);
     text = EncodeView(view);
   }
   return text;
 }
 
-void ViewExchange::AddCommon(SharedView& aView, int64_t aCrashes,
-                             bool aNodes) const {
+void ViewExchange::AddCommonFields(SharedView& aView, int64_t aCrashes,
+                                   bool aNodes) const {
   aView.mConfig = mFollows ? mConfig.mRevision : 0;
-  aView.mHosts = static_cast<int64_t>(CountedHosts());
+  aView.mHosts = static_cast<int64_t>(HostCount());
   if (mFollows) {
     const std::set<std::string>& zones = mNode.mReplicas.EvacuatedZones();
     aView.mEvacuated.assign(zones.begin(), zones.end());
@@ -151,8 +155,8 @@
   HttpResponse response;
   response.mStatus = kUnavailable;
   if (!mListedAt) {
-    if (mUnlistedAt && now - *mUnlistedAt < mPlan.PollEvery()) {
-      response.mHeaders.push_back({kAwayHeader, "1"});
+    if (mListingFailedAt && now - *mListingFailedAt < mPlan.PollEvery()) {
+      response.mHeaders.push_back({kStoreAwayHeader, "1"});
     }
     return response;
   }
@@ -164,8 +168,9 @@
   key.mKnown.mNumber = question.mRun == self.mRun ? key.mKnown.mNumber : 0;
   key.mCrashes = question.mRun == self.mRun ? question.mCrashes : 0;
   key.mNodes = mNodes.Tag() != question.mNodes;
-  response = HttpResponse::Json(
-      kOk, mTable == nullptr ? Text(key) : SubsetText(question, key.mNodes));
+  response = HttpResponse::Json(kOk, mTable == nullptr
+                                         ? CachedAnswer(key)
+                                         : SubsetText(question, key.mNodes));
   response.mHeaders.push_back(
       {kAgeHeader, std::to_string((now - *mListedAt).Count())});
   if (leads && !aRequest.mBody.empty()) {
@@ -192,12 +197,12 @@
   const bool leads = mLead.Known() && mLead.Known()->mAddress == address;
   HttpResponse response;
   if (!leads && !mNodes.Knows(address)) {
-    // That says nothing of whether it could be reached.
+    // An unknown address does not show whether the node can be reached.
     response.mStatus = kUnavailable;
     co_return response;
   }
   const std::optional<int> health =
-      co_await AskHealth(mNode, address, kReachLimit);
+      co_await AskHealth(mNode, address, kReachTimeout);
   response.mStatus = health ? kOk : kNotFound;
   co_return response;
 }
@@ -205,8 +210,8 @@
 asio::awaitable<bool> ViewExchange::ConfirmUnreachable(std::string aAddress) {
   const std::vector<std::string> nodes =
       mNodes.Relays(mNode.mIdentity.mAddress);
-  // Spread over the list, which is in the order of addresses.
-  const size_t step = std::max<size_t>(1, nodes.size() / kWitnesses);
+  // Spread the choice over the list, which is ordered by address.
+  const size_t step = std::max<size_t>(1, nodes.size() / kPeersAsked);
   bool answered = false;
   for (size_t i = 0; i < nodes.size(); i += step) {
     const Result<Endpoint> endpoint = Endpoint::Parse(nodes[i]);
@@ -216,7 +221,7 @@
     HttpRequest request;
     request.mTarget = std::string(kReachPath) + "?address=" + aAddress;
     const Result<HttpResponse> answer = co_await mNode.mClient.Send(
-        *endpoint, std::move(request), kReachLimit * 2);
+        *endpoint, std::move(request), kReachTimeout * 2);
     answered = answered || (answer && answer->mStatus == kNotFound);
     if (answer && answer->mStatus == kOk) {
       co_return false;
@@ -229,11 +234,11 @@
   const Millis now = mNode.Now();
   mPlan.SetBound(mNode.mBounds.mDrain);
   const std::optional<LeadHolder>& lead = mLead.Known();
-  if (lead && lead->mAddress != mLeadAsked) {
-    if (!mLeadAsked.empty() && !Teller()) {
+  if (lead && lead->mAddress != mLastLeadAddress) {
+    if (!mLastLeadAddress.empty() && !SubsetSource()) {
       mPlan.LeadChanged(now);
     }
-    mLeadAsked = lead->mAddress;
+    mLastLeadAddress = lead->mAddress;
   }
   return mPlan.Next(Contacts(), now);
 }
@@ -252,7 +257,7 @@
   const NodeIdentity& self = mNode.mIdentity;
   const std::optional<LeadHolder>& lead = mLead.Known();
   if (aSource == ViewSource::Lead) {
-    const std::optional<std::string> teller = Teller();
+    const std::optional<std::string> teller = SubsetSource();
     return teller ? teller
                   : (lead ? std::optional(lead->mAddress) : std::nullopt);
   }
@@ -263,9 +268,9 @@
   if (candidates.empty()) {
     return std::nullopt;
   }
-  // Each node begins with another one.
+  // The hash makes each node begin with a different candidate.
   const size_t first = std::hash<std::string>()(self.mName);
-  return candidates[(first + mHelper) % candidates.size()];
+  return candidates[(first + mHelperIndex) % candidates.size()];
 }
 
 bool ViewExchange::Leads(const std::string& aAddress) const {
@@ -288,8 +293,9 @@
 }
 
 asio::awaitable<void> ViewExchange::LookUp() {
-  // All hosts look for the lead as they start. One that is not found so, or has
-  // changed since, is looked for again.
+  // All hosts look up the lead when they start, so the first read may be stale.
+  // A lead that it did not find, or that has changed since, is looked up with a
+  // current read.
   const bool first = !std::exchange(mLookedUp, true);
   const Result<std::optional<LeadHolder>> holder = co_await mLead.Holder(first);
   const Millis now = mNode.Now();
@@ -300,9 +306,9 @@
   }
 }
 
-void ViewExchange::NoteMiss(ViewSource aSource, const std::string& aAddress,
-                            const Result<HttpResponse>& aAnswer) {
-  if (aAnswer && aAnswer->Find(kAwayHeader) != nullptr) {
+void ViewExchange::HandleMiss(ViewSource aSource, const std::string& aAddress,
+                              const Result<HttpResponse>& aAnswer) {
+  if (aAnswer && aAnswer->Find(kStoreAwayHeader) != nullptr) {
     mPlan.Away(aSource, mNode.Now());
   } else {
     mPlan.Missed(aSource, mNode.Now());
@@ -314,22 +320,22 @@
       .Number("misses", mPlan.Misses(aSource))
       .Write();
   if (aSource == ViewSource::Helper) {
-    ++mHelper;
+    ++mHelperIndex;
     return;
   }
   if (!Leads(aAddress)) {
-    PassOverTeller();
+    SkipSubsetSource();
     return;
   }
-  // One that can't be reached is gone. One that is late is asked again, later.
+  // An unreachable lead is gone. A late one is asked again later.
   const bool gone = !aAnswer && aAnswer.error().Run() == RunState::NotRun;
-  if (gone || mPlan.Misses(aSource) >= kMissesOfALead) {
+  if (gone || mPlan.Misses(aSource) >= kMissesBeforeLookUp) {
     mLead.Forget();
   }
 }
 
-HttpRequest ViewExchange::QuestionTo(ViewSource aSource,
-                                     const std::string& aAddress) {
+HttpRequest ViewExchange::MakeQuestion(ViewSource aSource,
+                                       const std::string& aAddress) {
   const NodeIdentity& self = mNode.mIdentity;
   ViewQuestion question;
   question.mFrom = {self.mAddress, self.mTakesClients, self.mZone};
@@ -345,10 +351,10 @@
   HttpRequest request;
   request.mTarget = EncodeQuestion(question);
   if (aSource == ViewSource::Lead && Leads(aAddress)) {
-    ToldUsage told{self.mRun, mNode.mUsage.Untold(mLead.Known()->mRun)};
-    if (!told.mCounts.empty()) {
+    ToldUsage usageReport{self.mRun, mNode.mUsage.Untold(mLead.Known()->mRun)};
+    if (!usageReport.mCounts.empty()) {
       request.mMethod = "POST";
-      request.mBody = EncodeToldUsage(told);
+      request.mBody = EncodeToldUsage(usageReport);
     }
   }
   return request;
@@ -364,21 +370,21 @@
     mPlan.Missed(aSource, mNode.Now());
     co_return std::nullopt;
   }
-  HttpRequest request = QuestionTo(aSource, *address);
+  HttpRequest request = MakeQuestion(aSource, *address);
   const std::string leadRun =
       Leads(*address) ? mLead.Known()->mRun : std::string();
   const Millis asked = mNode.Now();
   const Result<HttpResponse> answer =
       co_await mNode.mClient.Send(*endpoint, std::move(request), mPlan.Limit());
   if (!answer || answer->mStatus != kOk) {
-    NoteMiss(aSource, *address, answer);
+    HandleMiss(aSource, *address, answer);
     co_return std::nullopt;
   }
   const std::string* age = answer->Find(kAgeHeader);
   Result<SharedView> view = DecodeView(answer->mBody);
-  const std::optional<int64_t> aged =
+  const std::optional<int64_t> ageMs =
       age == nullptr ? std::nullopt : ParseNumber(*age);
-  if (!view || !aged) {
+  if (!view || !ageMs) {
     Event("view-unread")
         .Text("node", *address)
         .Text("why", view ? "it has no age" : view.error().Detail())
@@ -389,17 +395,17 @@
   if (view->mRun == leadRun && answer->Find(kUsageTakenHeader) != nullptr) {
     mNode.mUsage.Told();
   }
-  mPlan.Told(aSource, asked, Millis(*aged), mNode.Now());
+  mPlan.Told(aSource, asked, Millis(*ageMs), mNode.Now());
   if (aSource == ViewSource::Helper && mPlan.Misses(aSource) > 1) {
-    // It does not hear from the store either.
-    ++mHelper;
+    // The helper does not hear from the store either.
+    ++mHelperIndex;
   }
-  co_return co_await Take(std::move(*view), *endpoint);
+  co_return co_await ApplyView(std::move(*view), *endpoint);
 }
 
-asio::awaitable<std::optional<ViewUpdate>> ViewExchange::Take(SharedView aView,
-                                                              Endpoint aFrom) {
-  TakeCrashNews(mNode, aView.mCrashes, aView.mRun);
+asio::awaitable<std::optional<ViewUpdate>> ViewExchange::ApplyView(
+    SharedView aView, Endpoint aFrom) {
+  MergeCrashRecords(mNode, aView.mCrashes, aView.mRun);
   mCrashesRun = aView.mRun;
   mCrashesNumber = aView.mCrashNumber;
   const ReplicaMark before = mMirror.Mark();
@@ -411,26 +417,26 @@
         .Write();
     co_return std::nullopt;
   }
-  TakeNodes(aView);
-  ViewUpdate news;
+  ApplyNodes(aView);
+  ViewUpdate update;
   const bool changed = before.mDigest != mMirror.Mark().mDigest ||
                        mMirrorVersions != aView.mVersions;
   mMirrorVersions = aView.mVersions;
   if (changed || before.mNumber == 0) {
-    news.mReplicas = mMirror.All();
+    update.mReplicas = mMirror.All();
   }
   if (aView.mHosts > 0) {
     mNode.mReplicas.Cold().SetHosts(static_cast<size_t>(aView.mHosts));
   }
-  news.mFollowsConfig = aView.mConfig > 0;
-  if (news.mFollowsConfig) {
+  update.mFollowsConfig = aView.mConfig > 0;
+  if (update.mFollowsConfig) {
     Evacuated({aView.mEvacuated.begin(), aView.mEvacuated.end()});
   }
   if (aView.mConfig > mConfig.mRevision) {
-    news.mConfig = co_await FetchConfig(aFrom, aView.mConfig);
-    news.mFollowsConfig = news.mConfig.has_value();
+    update.mConfig = co_await FetchConfig(aFrom, aView.mConfig);
+    update.mFollowsConfig = update.mConfig.has_value();
   }
-  co_return news;
+  co_return update;
 }
 
 asio::awaitable<std::optional<ConfigText>> ViewExchange::FetchConfig(
@@ -438,7 +444,7 @@
   HttpRequest request;
   request.mTarget = kViewConfigPath;
   Result<HttpResponse> answer =
-      co_await mNode.mClient.Send(aFrom, std::move(request), kConfigLimit);
+      co_await mNode.mClient.Send(aFrom, std::move(request), kConfigTimeout);
   if (!answer || answer->mStatus != kOk) {
     Event("config-unfetched")
         .Text("node", aFrom.Text())
--- a/src/librillwall_rollout/view_exchange_test.cpp
+++ b/src/librillwall_rollout/view_exchange_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of how nodes share what the store says.
+/// Tests of sharing the contents of the store among nodes.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Nobody listens there.
+/// An address where nothing listens.
 const std::string kGone = "127.0.0.1:1";
 
 Replica ReplicaOf(std::string aId) {
@@ -30,44 +30,44 @@
 class ViewExchangeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ViewExchangeTest);
   CPPUNIT_TEST(EntryHostGetsTheLeadsView);
-  CPPUNIT_TEST(NewsAreToldOnce);
-  CPPUNIT_TEST(OldViewIsKnownToBeOld);
-  CPPUNIT_TEST(ViewOfBeforeASuspensionIsOld);
-  CPPUNIT_TEST(CrashesAreToldOnce);
-  CPPUNIT_TEST(NewLeadTellsCrashesToo);
-  CPPUNIT_TEST(ToldViewIsNotPassedOn);
+  CPPUNIT_TEST(ChangesAreSentOnce);
+  CPPUNIT_TEST(OldViewIsStale);
+  CPPUNIT_TEST(ViewFromBeforeASuspensionIsStale);
+  CPPUNIT_TEST(CrashRecordsAreSentOnce);
+  CPPUNIT_TEST(NewLeadSendsItsCrashRecords);
+  CPPUNIT_TEST(ReceivedViewIsNotForwarded);
   CPPUNIT_TEST(ConfigurationIsFetchedOnce);
-  CPPUNIT_TEST(LargeConfigurationTravelsPacked);
-  CPPUNIT_TEST(NodeThatDoesNotFollowSaysSo);
-  CPPUNIT_TEST(EvacuatedZonesAreTold);
+  CPPUNIT_TEST(LargeConfigurationIsCompressed);
+  CPPUNIT_TEST(NodeThatDoesNotFollowTheConfigurationSaysSo);
+  CPPUNIT_TEST(EvacuatedZonesAreSent);
   CPPUNIT_TEST(HostsAreCountedOnceAllCanHaveAsked);
-  CPPUNIT_TEST(CandidateHelpsOutWithoutALead);
-  CPPUNIT_TEST(CandidateAsksNoOtherCandidate);
+  CPPUNIT_TEST(CandidateAnswersWithoutALead);
+  CPPUNIT_TEST(CandidateDoesNotAskOtherCandidates);
   CPPUNIT_TEST(EntryHostLearnsWhoLeads);
-  CPPUNIT_TEST(DeadLeadIsForgotten);
-  CPPUNIT_TEST(OnlyYoungViewsAreWaitedFor);
+  CPPUNIT_TEST(UnreachableLeadIsForgotten);
+  CPPUNIT_TEST(OnlyFreshViewsAreWaitedFor);
   CPPUNIT_TEST(LateLeadIsNotForgottenAtOnce);
   CPPUNIT_TEST(HelperIsAskedToRead);
-  CPPUNIT_TEST(LeadIsNoHelper);
-  CPPUNIT_TEST(HelperWithoutAStoreSaysSo);
-  CPPUNIT_TEST(EntryHostsHearNothingOfVersions);
-  CPPUNIT_TEST(NewLeadTellsNothingThatIsKnown);
-  CPPUNIT_TEST(MissedChangeIsAskedAnew);
-  CPPUNIT_TEST(CalmAnswersDoNotGrow);
-  CPPUNIT_TEST(WitnessesTellWhomTheyReach);
-  CPPUNIT_TEST(WhoDoesNotKnowANodeIsNoWitness);
-  CPPUNIT_TEST(UsageGoesToTheLeadUntilItIsTaken);
+  CPPUNIT_TEST(LeadIsNotAHelper);
+  CPPUNIT_TEST(HelperReportsAnUnavailableStore);
+  CPPUNIT_TEST(EntryHostsGetNoVersions);
+  CPPUNIT_TEST(NewLeadSendsNothingKnown);
+  CPPUNIT_TEST(MissedChangeIsRequestedAgain);
+  CPPUNIT_TEST(UnchangedAnswersDoNotGrow);
+  CPPUNIT_TEST(PeersReportWhomTheyReach);
+  CPPUNIT_TEST(PeersDoNotReportOnUnknownNodes);
+  CPPUNIT_TEST(UsageIsSentUntilTheLeadAcceptsIt);
   CPPUNIT_TEST(UsageIsKeptIfTheOtherDoesNotLead);
-  CPPUNIT_TEST(FirstLookUpIsTheCheapOne);
-  CPPUNIT_TEST(OfManyReplicasASubsetIsTold);
-  CPPUNIT_TEST(CandidateOfTheZoneTellsTheSubset);
-  CPPUNIT_TEST(SilentCandidateIsPassedOver);
+  CPPUNIT_TEST(FirstLookUpAllowsStaleReads);
+  CPPUNIT_TEST(SubsetOfManyReplicasIsSent);
+  CPPUNIT_TEST(CandidateOfTheZoneSendsTheSubset);
+  CPPUNIT_TEST(SilentCandidateIsSkipped);
   CPPUNIT_TEST(CandidatesReadManyReplicasThemselves);
   CPPUNIT_TEST(IntroductionNamesNodesAndNoReplicas);
   CPPUNIT_TEST(UsageStillGoesToTheLead);
   CPPUNIT_TEST_SUITE_END();
 
-  /// A table of a thousand replicas.
+  /// Fills a table with a thousand replicas.
   static void Fill(RegistryTable& aTable) {
     std::vector<RegistryEntry> entries;
     for (int i = 0; i < 1000; ++i) {
@@ -105,9 +105,10 @@
       }
       co_await aExchange.Respond(std::move(response));
     }
-    /// Asks whom it would ask if it were time to. Not the store.
+    /// Asks the source that is due as if it were time to ask, except for the
+    /// store.
     std::optional<ViewUpdate> Ask() {
-      // Sees whether another node leads by now.
+      // Notices whether another node leads by now.
       mView.NextSource();
       mView.Plan().AskNow(Now());
       const std::optional<ViewSource> source = mView.NextSource();
@@ -115,8 +116,8 @@
                                    *source == ViewSource::Helper);
       return node ? mTest.Run(mView.Ask(*source)) : std::nullopt;
     }
-    /// \return the body of the answer to a question of another node
-    std::string Answered(const ViewQuestion& aQuestion) {
+    /// \return the body of the answer to another node's question
+    std::string AnswerTo(const ViewQuestion& aQuestion) {
       HttpRequest request;
       request.mTarget = EncodeQuestion(aQuestion);
       return mView.Answer(request).mBody;
@@ -142,30 +143,30 @@
 
   TestWorld mWorld;
   RegistryTable mTable;
-  Node mGiver{mWorld, "giver", false};
+  Node mSource{mWorld, "giver", false};
   Node mEntry{mWorld, "entry", true};
 
  public:
-  /// Handlers of the servers refer to the nodes: they go first.
+  /// Handlers of the servers refer to the nodes, so they are destroyed first.
   ~ViewExchangeTest() override { mWorld.mIo.Close(); }
 
   void setUp() override {
-    mGiver.mView.Listed({ReplicaOf("a")}, mGiver.Now());
-    mGiver.mView.Follows(true);
-    mEntry.mLead.Learn(mGiver.Holder());
+    mSource.mView.Listed({ReplicaOf("a")}, mSource.Now());
+    mSource.mView.Follows(true);
+    mEntry.mLead.Learn(mSource.Holder());
   }
 
  private:
   void EntryHostGetsTheLeadsView() {
-    const std::optional<ViewUpdate> news = mEntry.Ask();
-    CPPUNIT_ASSERT(news->mReplicas == std::vector<Replica>{ReplicaOf("a")});
-    // Each knows the other from then on.
-    CPPUNIT_ASSERT(mGiver.mNodes.Knows(mEntry.Entry().mAddress));
-    CPPUNIT_ASSERT(mEntry.mNodes.Knows(mGiver.Entry().mAddress));
+    const std::optional<ViewUpdate> update = mEntry.Ask();
+    CPPUNIT_ASSERT(update->mReplicas == std::vector<Replica>{ReplicaOf("a")});
+    // From then on each node knows the other.
+    CPPUNIT_ASSERT(mSource.mNodes.Knows(mEntry.Entry().mAddress));
+    CPPUNIT_ASSERT(mEntry.mNodes.Knows(mSource.Entry().mAddress));
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, mWorld.mStore.Counts().mReads);
   }
 
-  void FirstLookUpIsTheCheapOne() {
+  void FirstLookUpAllowsStaleReads() {
     mEntry.mLead.Forget();
     const auto lookUp = [&]() -> asio::awaitable<bool> {
       co_await mEntry.mView.LookUp();
@@ -174,21 +175,22 @@
     for (uint64_t reads = 1; reads <= 3; ++reads) {
       mEntry.mTest.Run(lookUp());
       CPPUNIT_ASSERT_EQUAL(reads, mWorld.mStore.Counts().mReads);
-      CPPUNIT_ASSERT_EQUAL(uint64_t{1}, mWorld.mStore.mOldReads);
+      CPPUNIT_ASSERT_EQUAL(uint64_t{1}, mWorld.mStore.mStaleReads);
     }
   }
 
-  void OfManyReplicasASubsetIsTold() {
+  void SubsetOfManyReplicasIsSent() {
     Fill(mTable);
-    mGiver.mView.ReadTable(mTable, mGiver.Now());
-    const std::optional<ViewUpdate> news = mEntry.Ask();
-    CPPUNIT_ASSERT_EQUAL(RegistryTable::kUsualSubset, news->mReplicas->size());
+    mSource.mView.ReadTable(mTable, mSource.Now());
+    const std::optional<ViewUpdate> update = mEntry.Ask();
+    CPPUNIT_ASSERT_EQUAL(RegistryTable::kUsualSubset,
+                         update->mReplicas->size());
     CPPUNIT_ASSERT(!mEntry.Ask()->mReplicas);
-    // One that this host does not know goes, then one that it knows.
-    const Replica known = news->mReplicas->front();
+    // First remove a replica that is not in the subset, then one that is.
+    const Replica known = update->mReplicas->front();
     int other = 0;
     const auto knows = [&](const std::string& aId) {
-      return std::any_of(news->mReplicas->begin(), news->mReplicas->end(),
+      return std::any_of(update->mReplicas->begin(), update->mReplicas->end(),
                          [&](const Replica& aOne) { return aOne.mId == aId; });
     };
     while (knows("i-" + std::to_string(other))) {
@@ -203,33 +205,34 @@
                              known) == later->mReplicas->end());
   }
 
-  void CandidateOfTheZoneTellsTheSubset() {
+  void CandidateOfTheZoneSendsTheSubset() {
     Fill(mTable);
-    Node teller(mWorld, "teller", false);
-    teller.mView.ReadTable(mTable, teller.Now());
-    teller.mView.Follows(true);
-    teller.mLead.Learn(mGiver.Holder());
-    mGiver.mView.ReadTable(mTable, mGiver.Now());
-    mGiver.mNodes.Heard(teller.Entry(), mGiver.Now());
-    // Of the lead it hears who else can tell it, and that there are many.
+    Node subsetSource(mWorld, "teller", false);
+    subsetSource.mView.ReadTable(mTable, subsetSource.Now());
+    subsetSource.mView.Follows(true);
+    subsetSource.mLead.Learn(mSource.Holder());
+    mSource.mView.ReadTable(mTable, mSource.Now());
+    mSource.mNodes.Heard(subsetSource.Entry(), mSource.Now());
+    // The lead's answer names the candidate, and says that there are many
+    // replicas.
     CPPUNIT_ASSERT(mEntry.Ask()->mReplicas.has_value());
-    const int asked = mGiver.mAsked;
+    const int asked = mSource.mAsked;
     for (int i = 0; i < 5; ++i) {
       CPPUNIT_ASSERT(mEntry.Ask().has_value());
     }
-    CPPUNIT_ASSERT_EQUAL(5, teller.mAsked + mGiver.mAsked - asked);
-    CPPUNIT_ASSERT(teller.mAsked == 5 || mGiver.mAsked == asked + 5);
-    CPPUNIT_ASSERT(mEntry.mLead.Known()->mAddress == mGiver.Holder().mAddress);
+    CPPUNIT_ASSERT_EQUAL(5, subsetSource.mAsked + mSource.mAsked - asked);
+    CPPUNIT_ASSERT(subsetSource.mAsked == 5 || mSource.mAsked == asked + 5);
+    CPPUNIT_ASSERT(mEntry.mLead.Known()->mAddress == mSource.Holder().mAddress);
   }
 
-  void SilentCandidateIsPassedOver() {
+  void SilentCandidateIsSkipped() {
     Fill(mTable);
-    mGiver.mView.ReadTable(mTable, mGiver.Now());
-    const NodeIdentity& self = mGiver.mTest.mNode.mIdentity;
-    mGiver.mNodes.Heard({kGone, false, "z"}, mGiver.Now());
-    mGiver.mNodes.Heard({self.mAddress, false, "other"}, mGiver.Now());
+    mSource.mView.ReadTable(mTable, mSource.Now());
+    const NodeIdentity& self = mSource.mTest.mNode.mIdentity;
+    mSource.mNodes.Heard({kGone, false, "z"}, mSource.Now());
+    mSource.mNodes.Heard({self.mAddress, false, "other"}, mSource.Now());
     mEntry.Ask();
-    // It is asked once, and then the lead.
+    // The candidate is asked once, and then the lead.
     int answered = 0;
     for (int i = 0; i < 4; ++i) {
       answered += mEntry.Ask().has_value() ? 1 : 0;
@@ -241,17 +244,17 @@
   void CandidatesReadManyReplicasThemselves() {
     Fill(mTable);
     Node candidate(mWorld, "candidate", false);
-    candidate.mLead.Learn(mGiver.Holder());
+    candidate.mLead.Learn(mSource.Holder());
     candidate.Ask();
     CPPUNIT_ASSERT(!candidate.mView.ReadsForOthers());
-    mGiver.mView.ReadTable(mTable, mGiver.Now());
+    mSource.mView.ReadTable(mTable, mSource.Now());
     candidate.Ask();
     CPPUNIT_ASSERT(candidate.mView.ReadsForOthers());
     mEntry.Ask();
     CPPUNIT_ASSERT(mEntry.mView.Large());
     CPPUNIT_ASSERT(!mEntry.mView.ReadsForOthers());
-    // The replicas become few again, and it hears so from the lead.
-    mGiver.mView.Listed({ReplicaOf("a")}, mGiver.Now());
+    // The replicas become few again, and the lead tells the candidate so.
+    mSource.mView.Listed({ReplicaOf("a")}, mSource.Now());
     candidate.mView.Listed({ReplicaOf("a")}, candidate.Now());
     CPPUNIT_ASSERT(candidate.mView.ReadsForOthers());
     const auto introduce = [&]() -> asio::awaitable<bool> {
@@ -264,57 +267,57 @@
 
   void IntroductionNamesNodesAndNoReplicas() {
     Fill(mTable);
-    Node teller(mWorld, "teller", false);
-    teller.mView.ReadTable(mTable, teller.Now());
-    mGiver.mView.ReadTable(mTable, mGiver.Now());
-    mGiver.mNodes.Heard({"10.0.0.7:1", false, "y"}, mGiver.Now());
-    teller.mLead.Learn(mGiver.Holder());
-    teller.mNodes.Heard(mEntry.Entry(), teller.Now());
+    Node subsetSource(mWorld, "teller", false);
+    subsetSource.mView.ReadTable(mTable, subsetSource.Now());
+    mSource.mView.ReadTable(mTable, mSource.Now());
+    mSource.mNodes.Heard({"10.0.0.7:1", false, "y"}, mSource.Now());
+    subsetSource.mLead.Learn(mSource.Holder());
+    subsetSource.mNodes.Heard(mEntry.Entry(), subsetSource.Now());
     const auto introduce = [&]() -> asio::awaitable<bool> {
-      co_await teller.mView.Introduce();
+      co_await subsetSource.mView.Introduce();
       co_return true;
     };
     mWorld.mStore.mDown = true;
-    teller.mTest.Run(introduce());
-    CPPUNIT_ASSERT(mGiver.mNodes.Knows(teller.Entry().mAddress));
-    CPPUNIT_ASSERT(teller.mNodes.Knows("10.0.0.7:1"));
-    // Whom it hears itself it goes on knowing.
-    CPPUNIT_ASSERT(teller.mNodes.Knows(mEntry.Entry().mAddress));
+    subsetSource.mTest.Run(introduce());
+    CPPUNIT_ASSERT(mSource.mNodes.Knows(subsetSource.Entry().mAddress));
+    CPPUNIT_ASSERT(subsetSource.mNodes.Knows("10.0.0.7:1"));
+    // A node keeps those that asked it.
+    CPPUNIT_ASSERT(subsetSource.mNodes.Knows(mEntry.Entry().mAddress));
     ViewQuestion question;
-    question.mFrom = teller.Entry();
+    question.mFrom = subsetSource.Entry();
     question.mVersions = false;
     question.mReplicasWanted = false;
-    const std::string answer = mGiver.Answered(question);
+    const std::string answer = mSource.AnswerTo(question);
     CPPUNIT_ASSERT(DecodeView(answer)->mReplicas.mChanged.empty());
     CPPUNIT_ASSERT_MESSAGE(answer, answer.size() < 600);
   }
 
   void UsageStillGoesToTheLead() {
     Fill(mTable);
-    Node teller(mWorld, "teller", false);
-    teller.mView.ReadTable(mTable, teller.Now());
-    mGiver.mView.ReadTable(mTable, mGiver.Now());
-    mGiver.mNodes.Heard(teller.Entry(), mGiver.Now());
+    Node subsetSource(mWorld, "teller", false);
+    subsetSource.mView.ReadTable(mTable, subsetSource.Now());
+    mSource.mView.ReadTable(mTable, mSource.Now());
+    mSource.mNodes.Heard(subsetSource.Entry(), mSource.Now());
     mEntry.Ask();
     UsageMeter& usage = mEntry.mTest.mNode.mUsage;
     usage.SetWindow(Millis(1000));
     usage.Count("a", mEntry.mTest.mNode.mTimeOfDay());
-    const int asked = mGiver.mAsked;
+    const int asked = mSource.mAsked;
     mEntry.Ask();
-    CPPUNIT_ASSERT_EQUAL(asked + 1, mGiver.mAsked);
+    CPPUNIT_ASSERT_EQUAL(asked + 1, mSource.mAsked);
   }
 
-  void EvacuatedZonesAreTold() {
-    mGiver.mView.Configured({"text", 7});
-    mGiver.mView.Evacuated({"z"});
+  void EvacuatedZonesAreSent() {
+    mSource.mView.Configured({"text", 7});
+    mSource.mView.Evacuated({"z"});
     mEntry.Ask();
     CPPUNIT_ASSERT(mEntry.mTest.mNode.mReplicas.Evacuated("z"));
-    // One that does not follow the operator's words knows nothing of it.
-    mGiver.mView.Follows(false);
-    mGiver.mView.Evacuated({});
+    // A node that does not follow the configuration does not know its zones.
+    mSource.mView.Follows(false);
+    mSource.mView.Evacuated({});
     mEntry.Ask();
     CPPUNIT_ASSERT(mEntry.mTest.mNode.mReplicas.Evacuated("z"));
-    mGiver.mView.Follows(true);
+    mSource.mView.Follows(true);
     mEntry.Ask();
     CPPUNIT_ASSERT(!mEntry.mTest.mNode.mReplicas.Evacuated("z"));
   }
@@ -323,50 +326,50 @@
     ViewQuestion question;
     question.mFrom = mEntry.Entry();
     const auto told = [&] {
-      return DecodeView(mGiver.Answered(question))->mHosts;
+      return DecodeView(mSource.AnswerTo(question))->mHosts;
     };
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, told());
-    const Millis now = mGiver.Now();
+    const Millis now = mSource.Now();
     for (int64_t second = 0; second <= 10; ++second) {
-      mGiver.mView.Listed({ReplicaOf("a")}, now + Millis(second * 1000));
+      mSource.mView.Listed({ReplicaOf("a")}, now + Millis(second * 1000));
     }
     CPPUNIT_ASSERT_EQUAL(int64_t{16}, told());
-    // After a pause others may have asked elsewhere.
-    mGiver.mView.Listed({ReplicaOf("a")}, now + Millis(15000));
+    // After a gap, other hosts may have asked another node.
+    mSource.mView.Listed({ReplicaOf("a")}, now + Millis(15000));
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, told());
   }
 
-  void NewsAreToldOnce() {
+  void ChangesAreSentOnce() {
     mEntry.Ask();
-    mGiver.mView.Listed({ReplicaOf("a"), ReplicaOf("b")}, mGiver.Now());
+    mSource.mView.Listed({ReplicaOf("a"), ReplicaOf("b")}, mSource.Now());
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mEntry.Ask()->mReplicas->size());
     CPPUNIT_ASSERT(!mEntry.Ask()->mReplicas);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mEntry.mView.Told().size());
-    mGiver.mView.Listed({ReplicaOf("b")}, mGiver.Now());
+    mSource.mView.Listed({ReplicaOf("b")}, mSource.Now());
     CPPUNIT_ASSERT(mEntry.Ask()->mReplicas ==
                    std::vector<Replica>{ReplicaOf("b")});
   }
 
-  // What a source read long ago is told with its age, so that a late source
-  // can't pass for a fresh one, however late its answer is.
-  void OldViewIsKnownToBeOld() {
-    mGiver.mView.Listed({ReplicaOf("a")}, mGiver.Now() - Millis(5000));
+  // An answer names the age of what the source read, so that a late source
+  // cannot pass for a fresh one, however late the answer is.
+  void OldViewIsStale() {
+    mSource.mView.Listed({ReplicaOf("a")}, mSource.Now() - Millis(5000));
     CPPUNIT_ASSERT(mEntry.Ask());
     CPPUNIT_ASSERT(!mEntry.mView.Plan().Fresh(mEntry.Now()));
     CPPUNIT_ASSERT_EQUAL(1, mEntry.mView.Plan().Misses(ViewSource::Lead));
-    mGiver.mView.Listed({ReplicaOf("a")}, mGiver.Now());
+    mSource.mView.Listed({ReplicaOf("a")}, mSource.Now());
     CPPUNIT_ASSERT(mEntry.Ask());
     CPPUNIT_ASSERT(mEntry.mView.Plan().Fresh(mEntry.Now()));
     CPPUNIT_ASSERT_EQUAL(0, mEntry.mView.Plan().Misses(ViewSource::Lead));
   }
 
-  void ViewOfBeforeASuspensionIsOld() {
+  void ViewFromBeforeASuspensionIsStale() {
     CPPUNIT_ASSERT(mEntry.Ask());
     CPPUNIT_ASSERT(mEntry.mView.Plan().Fresh(mEntry.Now()));
     mEntry.mTest.Suspend(Millis(5000));
     CPPUNIT_ASSERT(!mEntry.mView.Plan().Fresh(mEntry.Now()));
-    // Nor is one that a suspended node gives out.
-    mGiver.mTest.Suspend(Millis(5000));
+    // A view from a suspended node is stale too.
+    mSource.mTest.Suspend(Millis(5000));
     CPPUNIT_ASSERT(mEntry.Ask());
     CPPUNIT_ASSERT(!mEntry.mView.Plan().Fresh(mEntry.Now()));
   }
@@ -376,28 +379,28 @@
     return {digest, aReplica, WallClockMs(), false, "POST h/p"};
   }
 
-  void CrashesAreToldOnce() {
+  void CrashRecordsAreSentOnce() {
     CrashTable& told = mEntry.mTest.mNode.mCrashes;
     mEntry.Ask();
     CPPUNIT_ASSERT(!told.AnySuspect());
-    mGiver.mTest.mNode.mCrashes.Merge({CrashOf("r1")});
+    mSource.mTest.mNode.mCrashes.Merge({CrashOf("r1")});
     mEntry.Ask();
-    CPPUNIT_ASSERT(mGiver.mTest.mNode.mCrashes.Since(0) == told.Since(0));
+    CPPUNIT_ASSERT(mSource.mTest.mNode.mCrashes.Since(0) == told.Since(0));
     const int64_t number = told.Number();
     mEntry.Ask();
     CPPUNIT_ASSERT_EQUAL(number, told.Number());
-    // What is known is not told again to one who says so.
+    // Records that the question names as known are not sent again.
     ViewQuestion question;
     question.mRun = "giver-run";
-    question.mCrashes = mGiver.mTest.mNode.mCrashes.Number();
-    CPPUNIT_ASSERT(DecodeView(mGiver.Answered(question))->mCrashes.empty());
+    question.mCrashes = mSource.mTest.mNode.mCrashes.Number();
+    CPPUNIT_ASSERT(DecodeView(mSource.AnswerTo(question))->mCrashes.empty());
     question.mCrashes = 0;
     CPPUNIT_ASSERT_EQUAL(
-        size_t{1}, DecodeView(mGiver.Answered(question))->mCrashes.size());
+        size_t{1}, DecodeView(mSource.AnswerTo(question))->mCrashes.size());
   }
 
-  void NewLeadTellsCrashesToo() {
-    mGiver.mTest.mNode.mCrashes.Merge({CrashOf("r1")});
+  void NewLeadSendsItsCrashRecords() {
+    mSource.mTest.mNode.mCrashes.Merge({CrashOf("r1")});
     mEntry.Ask();
     Node next{mWorld, "next", false};
     next.mView.Listed({ReplicaOf("a")}, next.Now());
@@ -408,77 +411,77 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mEntry.mTest.mNode.mCrashes.Size());
   }
 
-  void ToldViewIsNotPassedOn() {
+  void ReceivedViewIsNotForwarded() {
     mEntry.Ask();
     Node last{mWorld, "last", true};
     last.mLead.Learn(mEntry.Holder());
     CPPUNIT_ASSERT(!last.Ask());
   }
 
-  /// As when an operator adds a thousand routes: every node fetches them.
-  void LargeConfigurationTravelsPacked() {
+  /// An operator adds a thousand routes, and every node fetches them.
+  void LargeConfigurationIsCompressed() {
     std::string text;
     for (int i = 0; i < 1000; ++i) {
       text += R"({"name":"r)" + std::to_string(i) +
               R"(","host":"a.example","type":"idempotent","attempts":4},)";
     }
-    mGiver.mView.Configured({text, 7});
-    const HttpResponse answer = mGiver.mView.HandleConfigRequest();
+    mSource.mView.Configured({text, 7});
+    const HttpResponse answer = mSource.mView.HandleConfigRequest();
     CPPUNIT_ASSERT(answer.mBody.size() * 10 < text.size());
     CPPUNIT_ASSERT(*mEntry.Ask()->mConfig == (ConfigText{text, 7}));
   }
 
   void ConfigurationIsFetchedOnce() {
-    mGiver.mView.Configured({"the text", 7});
-    std::optional<ViewUpdate> news = mEntry.Ask();
-    CPPUNIT_ASSERT(news->mFollowsConfig);
-    CPPUNIT_ASSERT(*news->mConfig == (ConfigText{"the text", 7}));
-    mEntry.mView.Configured(*news->mConfig);
-    news = mEntry.Ask();
-    CPPUNIT_ASSERT(news->mFollowsConfig);
-    CPPUNIT_ASSERT(!news->mConfig);
-    CPPUNIT_ASSERT_EQUAL(1, mGiver.mConfigsAsked);
+    mSource.mView.Configured({"the text", 7});
+    std::optional<ViewUpdate> update = mEntry.Ask();
+    CPPUNIT_ASSERT(update->mFollowsConfig);
+    CPPUNIT_ASSERT(*update->mConfig == (ConfigText{"the text", 7}));
+    mEntry.mView.Configured(*update->mConfig);
+    update = mEntry.Ask();
+    CPPUNIT_ASSERT(update->mFollowsConfig);
+    CPPUNIT_ASSERT(!update->mConfig);
+    CPPUNIT_ASSERT_EQUAL(1, mSource.mConfigsAsked);
   }
 
-  void NodeThatDoesNotFollowSaysSo() {
-    mGiver.mView.Configured({"the text", 7});
-    mGiver.mView.Follows(false);
-    const std::optional<ViewUpdate> news = mEntry.Ask();
-    CPPUNIT_ASSERT(news && !news->mFollowsConfig && !news->mConfig);
+  void NodeThatDoesNotFollowTheConfigurationSaysSo() {
+    mSource.mView.Configured({"the text", 7});
+    mSource.mView.Follows(false);
+    const std::optional<ViewUpdate> update = mEntry.Ask();
+    CPPUNIT_ASSERT(update && !update->mFollowsConfig && !update->mConfig);
   }
 
-  void CandidateHelpsOutWithoutALead() {
+  void CandidateAnswersWithoutALead() {
     mEntry.mLead.Forget();
-    mEntry.mNodes.Heard(mGiver.Entry(), mEntry.Now());
+    mEntry.mNodes.Heard(mSource.Entry(), mEntry.Now());
     CPPUNIT_ASSERT(mEntry.Ask());
   }
 
-  void CandidateAsksNoOtherCandidate() {
+  void CandidateDoesNotAskOtherCandidates() {
     Node candidate{mWorld, "candidate", false};
-    candidate.mNodes.Heard(mGiver.Entry(), candidate.Now());
+    candidate.mNodes.Heard(mSource.Entry(), candidate.Now());
     CPPUNIT_ASSERT(!candidate.Ask());
-    CPPUNIT_ASSERT_EQUAL(0, mGiver.mAsked);
+    CPPUNIT_ASSERT_EQUAL(0, mSource.mAsked);
   }
 
   void EntryHostLearnsWhoLeads() {
     mEntry.Ask();
     const LeadHolder other{"other", "127.0.0.1:1", "run"};
-    mGiver.mLead.Learn(other);
+    mSource.mLead.Learn(other);
     mEntry.Ask();
     CPPUNIT_ASSERT(*mEntry.mLead.Known() == other);
   }
 
-  void DeadLeadIsForgotten() {
+  void UnreachableLeadIsForgotten() {
     mEntry.Ask();
     mEntry.mLead.Learn({"other", "127.0.0.1:1", "run"});
     mEntry.mTest.Run(mEntry.mView.Ask(ViewSource::Lead));
     CPPUNIT_ASSERT(!mEntry.mLead.Known());
-    // The candidate answers in its place.
+    // The candidate answers in place of the lead.
     CPPUNIT_ASSERT(mEntry.Ask());
   }
 
-  // A lead that is saturated is no dead one: to look for it in the store, and
-  // to come back at once, is what keeps it saturated.
+  // A saturated lead is still alive. Looking it up in the store and asking it
+  // again at once would keep it saturated.
   void LateLeadIsNotForgottenAtOnce() {
     HttpServer silent(mWorld.mIo, HttpLimits(),
                       [this](const HttpRequest&,
@@ -488,11 +491,11 @@
                       });
     const Endpoint bound = *silent.Listen({"127.0.0.1", 0});
     mEntry.mLead.Learn({"late", bound.Text(), "run"});
-    mEntry.mNodes.Heard(mGiver.Entry(), mEntry.Now());
+    mEntry.mNodes.Heard(mSource.Entry(), mEntry.Now());
     CPPUNIT_ASSERT(mEntry.mView.NextSource() == ViewSource::Lead);
     CPPUNIT_ASSERT(!mEntry.mTest.Run(mEntry.mView.Ask(ViewSource::Lead)));
     CPPUNIT_ASSERT(mEntry.mLead.Known());
-    // The helper is next, and the lead is left alone for the time being.
+    // The helper is next, and the lead is not asked for a while.
     CPPUNIT_ASSERT(mEntry.mView.NextSource() == ViewSource::Helper);
     CPPUNIT_ASSERT(mEntry.mTest.Run(mEntry.mView.Ask(ViewSource::Helper)));
     CPPUNIT_ASSERT(mEntry.mView.NextSource() != ViewSource::Lead);
@@ -502,24 +505,24 @@
 
   void HelperIsAskedToRead() {
     int told = 0;
-    mGiver.mView.mOnHelpRequested = [&told] { ++told; };
+    mSource.mView.mOnHelpRequested = [&told] { ++told; };
     mEntry.mLead.Forget();
-    mEntry.mNodes.Heard(mGiver.Entry(), mEntry.Now());
-    CPPUNIT_ASSERT(!mGiver.mView.Helping());
+    mEntry.mNodes.Heard(mSource.Entry(), mEntry.Now());
+    CPPUNIT_ASSERT(!mSource.mView.Helping());
     CPPUNIT_ASSERT(mEntry.Ask());
-    CPPUNIT_ASSERT(mGiver.mView.Helping());
+    CPPUNIT_ASSERT(mSource.mView.Helping());
     CPPUNIT_ASSERT(mEntry.Ask());
     CPPUNIT_ASSERT_EQUAL(1, told);
   }
 
-  void LeadIsNoHelper() {
+  void LeadIsNotAHelper() {
     CPPUNIT_ASSERT(mEntry.Ask());
-    CPPUNIT_ASSERT(!mGiver.mView.Helping());
+    CPPUNIT_ASSERT(!mSource.mView.Helping());
   }
 
-  // The lead is lost while the store is away: the helpers have never read it,
-  // and 250 nodes must not call it one after the other.
-  void HelperWithoutAStoreSaysSo() {
+  // The lead is lost while the store does not answer. The helpers have never
+  // read the store, and 250 nodes must not call it one after the other.
+  void HelperReportsAnUnavailableStore() {
     Node helper{mWorld, "helper", false};
     mEntry.mLead.Forget();
     mEntry.mNodes.Adopt({helper.Entry()}, mEntry.Now());
@@ -533,38 +536,38 @@
     CPPUNIT_ASSERT(!mEntry.mView.Plan().Next(alone, later));
   }
 
-  void EntryHostsHearNothingOfVersions() {
+  void EntryHostsGetNoVersions() {
     Replica replica = ReplicaOf("a");
     replica.mModels = {{"m", 3}};
-    mGiver.mView.Listed({replica}, mGiver.Now());
+    mSource.mView.Listed({replica}, mSource.Now());
     CPPUNIT_ASSERT(mEntry.Ask()->mReplicas ==
                    std::vector<Replica>{ReplicaOf("a")});
     replica.mModels = {{"m", 4}};
-    mGiver.mView.Listed({replica}, mGiver.Now());
+    mSource.mView.Listed({replica}, mSource.Now());
     CPPUNIT_ASSERT(!mEntry.Ask()->mReplicas);
-    // One that owns steps has to know them, and is told the whole list.
+    // A node that owns steps needs the versions and is sent the whole list.
     CPPUNIT_ASSERT(!mEntry.mView.KnowsVersions());
     mEntry.mView.mOwnsSteps = [] { return true; };
     CPPUNIT_ASSERT(mEntry.Ask()->mReplicas == std::vector<Replica>{replica});
     CPPUNIT_ASSERT(mEntry.mView.KnowsVersions());
   }
 
-  void NewLeadTellsNothingThatIsKnown() {
+  void NewLeadSendsNothingKnown() {
     mEntry.Ask();
     Node next{mWorld, "next", false};
     next.mView.Listed({ReplicaOf("a")}, next.Now());
     mEntry.mLead.Learn(next.Holder());
-    const std::optional<ViewUpdate> news = mEntry.Ask();
-    CPPUNIT_ASSERT(news && !news->mReplicas);
+    const std::optional<ViewUpdate> update = mEntry.Ask();
+    CPPUNIT_ASSERT(update && !update->mReplicas);
     CPPUNIT_ASSERT_EQUAL(1, next.mAsked);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mEntry.mView.Told().size());
   }
 
-  // A giver that counts its changes wrongly, as one with a fault would.
-  void MissedChangeIsAskedAnew() {
+  // The source counts its changes wrongly, as a faulty one would.
+  void MissedChangeIsRequestedAgain() {
     mEntry.Ask();
     Node wrong{mWorld, "wrong", false};
-    wrong.mTest.mNode.mIdentity.mRun = mGiver.mTest.mNode.mIdentity.mRun;
+    wrong.mTest.mNode.mIdentity.mRun = mSource.mTest.mNode.mIdentity.mRun;
     wrong.mView.Listed({ReplicaOf("c")}, wrong.Now());
     wrong.mView.Listed({ReplicaOf("b"), ReplicaOf("c")}, wrong.Now());
     mEntry.mLead.Learn(wrong.Holder());
@@ -572,9 +575,10 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mEntry.Ask()->mReplicas->size());
   }
 
-  // 165 replicas and 274 nodes: a calm question is answered in some 200 bytes,
-  // whatever their numbers; a first one in some 200 bytes a replica.
-  void CalmAnswersDoNotGrow() {
+  // With 165 replicas and 274 nodes, a question without changes is answered in
+  // some 200 bytes, whatever their numbers; a first question in some 200 bytes
+  // for each replica.
+  void UnchangedAnswersDoNotGrow() {
     constexpr size_t kReplicas = 165;
     constexpr size_t kNodes = 274;
     std::vector<Replica> replicas;
@@ -582,23 +586,23 @@
       replicas.push_back(ReplicaOf("replica-" + std::to_string(i)));
       replicas.back().mModels = {{"m0", 3}, {"m1", 4}, {"m2", 5}};
     }
-    mGiver.mView.Listed(replicas, mGiver.Now());
+    mSource.mView.Listed(replicas, mSource.Now());
     ViewQuestion question;
     question.mVersions = false;
     for (size_t i = 0; i < kNodes; ++i) {
       question.mFrom = {"10.0.0.1:" + std::to_string(i), i % 10 != 0};
-      mGiver.Answered(question);
+      mSource.AnswerTo(question);
     }
-    const std::string first = mGiver.Answered(question);
+    const std::string first = mSource.AnswerTo(question);
     CPPUNIT_ASSERT(first.size() < 200 * kReplicas + 2000);
     const Result<SharedView> view = DecodeView(first);
     question.mRun = view->mRun;
     question.mReplicas = {view->mReplicas.mNumber, view->mReplicas.mDigest};
-    question.mNodes = mGiver.mNodes.Tag();
-    CPPUNIT_ASSERT(mGiver.Answered(question).size() < 250);
+    question.mNodes = mSource.mNodes.Tag();
+    CPPUNIT_ASSERT(mSource.AnswerTo(question).size() < 250);
   }
 
-  void OnlyYoungViewsAreWaitedFor() {
+  void OnlyFreshViewsAreWaitedFor() {
     ViewPlan& plan = mEntry.mView.Plan();
     CPPUNIT_ASSERT(!plan.Fresh(mEntry.Now()));
     mEntry.Ask();
@@ -608,7 +612,7 @@
     CPPUNIT_ASSERT(!plan.Fresh(mEntry.Now()));
   }
 
-  /// Asks the entry host, which asks on by a connection of its own.
+  /// Asks the entry host, which probes the address over its own connection.
   bool ConfirmUnreachable(Node& aBy, const std::string& aAddress) {
     std::optional<bool> result;
     asio::co_spawn(aBy.mTest.mIo, aBy.mView.ConfirmUnreachable(aAddress),
@@ -621,52 +625,55 @@
     return *result;
   }
 
-  void WitnessesTellWhomTheyReach() {
+  void PeersReportWhomTheyReach() {
     mEntry.Ask();
     const std::string entry = mEntry.Entry().mAddress;
-    const std::string giver = mGiver.Entry().mAddress;
+    const std::string giver = mSource.Entry().mAddress;
     Node candidate{mWorld, "candidate", false};
     candidate.mNodes.Adopt(mEntry.mNodes.List(), candidate.Now());
     CPPUNIT_ASSERT(!ConfirmUnreachable(candidate, giver));
     // A node that has gone; the entry host has heard of it.
     mEntry.mNodes.Heard({kGone, false}, mEntry.Now());
     CPPUNIT_ASSERT(ConfirmUnreachable(candidate, kGone));
-    // Nobody is there to tell.
+    // There is no peer left to ask.
     candidate.mNodes.Adopt({}, candidate.Now());
     CPPUNIT_ASSERT(!ConfirmUnreachable(candidate, kGone));
   }
 
-  // Nodes are told a dozen of the others, which need not name the lead. Two
-  // dozen candidates and 250 entry hosts: on a calm day with a lead that was
-  // out of reach for half a second, its claim was ended for this.
-  void WhoDoesNotKnowANodeIsNoWitness() {
+  // A node is told a dozen of the others, and the lead need not be among them.
+  // With two dozen candidates and 250 entry hosts, a lead that was unreachable
+  // for half a second lost its claim because peers that did not know it were
+  // counted as not reaching it.
+  void PeersDoNotReportOnUnknownNodes() {
     Node candidate{mWorld, "candidate", false};
     candidate.mNodes.Adopt({mEntry.Entry()}, candidate.Now());
     CPPUNIT_ASSERT(!ConfirmUnreachable(candidate, kGone));
-    // It knows who leads, whether or not it was told of that node otherwise.
+    // The entry host knows who leads, whether or not its list of nodes names
+    // that node.
     mEntry.mLead.Learn({"gone", kGone, "run"});
     CPPUNIT_ASSERT(ConfirmUnreachable(candidate, kGone));
-    const std::string giver = mGiver.Entry().mAddress;
-    mEntry.mLead.Learn(mGiver.Holder());
+    const std::string giver = mSource.Entry().mAddress;
+    mEntry.mLead.Learn(mSource.Holder());
     CPPUNIT_ASSERT(!ConfirmUnreachable(candidate, giver));
   }
 
-  /// Counts one request on the entry host; the giver keeps what it is told.
-  void CountOne(std::vector<std::string>& aTold) {
+  /// Counts one request on the entry host; the source collects the reports that
+  /// it receives.
+  void CountOne(std::vector<std::string>& aReports) {
     mEntry.mTest.mNode.mUsage.SetWindow(Millis(5000));
     mEntry.mTest.mNode.mUsage.Count("a", 500000);
-    mGiver.mView.mOnUsage = [&](const NodeEntry&, const std::string& aText) {
+    mSource.mView.mOnUsage = [&](const NodeEntry&, const std::string& aText) {
       if (!aText.empty()) {
-        aTold.push_back(aText);
+        aReports.push_back(aText);
       }
     };
   }
 
-  void UsageGoesToTheLeadUntilItIsTaken() {
+  void UsageIsSentUntilTheLeadAcceptsIt() {
     std::vector<std::string> told;
     CountOne(told);
-    Launch(mGiver.mTest.mIo, "lead", mGiver.mLead.Run());
-    mGiver.mTest.RunUntil([&] { return mGiver.mLead.Held(); });
+    Launch(mSource.mTest.mIo, "lead", mSource.mLead.Run());
+    mSource.mTest.RunUntil([&] { return mSource.mLead.Held(); });
     CPPUNIT_ASSERT(mEntry.Ask().has_value());
     CPPUNIT_ASSERT(mEntry.Ask().has_value());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, told.size());
@@ -675,7 +682,7 @@
     CPPUNIT_ASSERT(expected == *DecodeToldUsage(told.front()));
   }
 
-  /// As right after the lead has changed hands.
+  /// This happens right after the lead has changed.
   void UsageIsKeptIfTheOtherDoesNotLead() {
     std::vector<std::string> told;
     CountOne(told);
--- a/src/librillwall_rollout/view_subset.cpp
+++ b/src/librillwall_rollout/view_subset.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Views where there are very many replicas: which candidate tells a host its
-/// subset, and what is in it.
+/// Views with very many replicas: which candidate sends a host its subset, and
+/// what the subset holds.
 
 #include <functional>
 
@@ -12,32 +12,33 @@
 namespace {
 
 constexpr int kOk = 200;
-/// Then a candidate that did not answer is asked again.
-constexpr Millis kTellerAgain{8000};
-/// A node that has listed the replicas for so long has been asked by all nodes
-/// that live; one that did not for a while is asked by others again.
-constexpr Millis kCountFor{10000};
-constexpr Millis kCountAnewAfter{3000};
+/// When a candidate that did not answer is asked again.
+constexpr Millis kSubsetSourceRetry{8000};
+/// A node that has listed the replicas for kFullContactTime has been asked by
+/// all nodes that live. After a gap in the listings of more than
+/// kMaxListingGap, nodes may have asked others meanwhile.
+constexpr Millis kFullContactTime{10000};
+constexpr Millis kMaxListingGap{3000};
 
 }  // namespace
 
-void ViewExchange::NoteListed(Millis aAsked) {
-  if (!mListedAt || aAsked - *mListedAt > kCountAnewAfter) {
-    mListsSince = aAsked;
+void ViewExchange::RecordListing(Millis aAsked) {
+  if (!mListedAt || aAsked - *mListedAt > kMaxListingGap) {
+    mListingSince = aAsked;
   }
   mListedAt = aAsked;
 }
 
-void ViewExchange::PassOverTeller() {
+void ViewExchange::SkipSubsetSource() {
   const Millis now = mNode.Now();
-  const bool first = now - mTellerMissedAt > kTellerAgain;
-  mTellerShift = first ? 1 : mTellerShift + 1;
-  mTellerMissedAt = now;
+  const bool first = now - mSubsetSourceMissedAt > kSubsetSourceRetry;
+  mSubsetSourceShift = first ? 1 : mSubsetSourceShift + 1;
+  mSubsetSourceMissedAt = now;
 }
 
 void ViewExchange::ReadTable(const RegistryTable& aTable, Millis aAsked) {
   mTable = &aTable;
-  NoteListed(aAsked);
+  RecordListing(aAsked);
 }
 
 bool ViewExchange::ReadsForOthers() const {
@@ -79,17 +80,17 @@
   view.mLarge = true;
   view.mReplicas = SubsetOf(aQuestion);
   const bool sameRun = aQuestion.mRun == view.mRun;
-  AddCommon(view, sameRun ? aQuestion.mCrashes : 0, aNodes);
+  AddCommonFields(view, sameRun ? aQuestion.mCrashes : 0, aNodes);
   return EncodeView(view);
 }
 
-std::optional<std::string> ViewExchange::Teller() const {
+std::optional<std::string> ViewExchange::SubsetSource() const {
   const NodeIdentity& self = mNode.mIdentity;
-  if (!self.mTakesClients || !mLargeTold || mOwnsSteps()) {
+  if (!self.mTakesClients || !mLargeReported || mOwnsSteps()) {
     return std::nullopt;
   }
   if (mLead.Known() && !mNode.mUsage.Untold(mLead.Known()->mRun).empty()) {
-    // Usage is for the lead, and for nobody else.
+    // Usage counts go to the lead only.
     return std::nullopt;
   }
   const std::vector<std::string> near =
@@ -97,9 +98,10 @@
   if (near.empty()) {
     return std::nullopt;
   }
-  const bool forgiven = mNode.Now() - mTellerMissedAt > kTellerAgain;
-  const size_t shift = forgiven ? 0 : mTellerShift;
-  // After each of them it is the lead's turn.
+  const bool retryDue =
+      mNode.Now() - mSubsetSourceMissedAt > kSubsetSourceRetry;
+  const size_t shift = retryDue ? 0 : mSubsetSourceShift;
+  // After all candidates were skipped, the lead is asked.
   if (shift % (near.size() + 1) == near.size()) {
     return std::nullopt;
   }
@@ -129,7 +131,7 @@
           ? DecodeView(answer->mBody)
           : Error(ErrorKind::Unavailable, "The lead does not answer.");
   if (view) {
-    TakeNodes(*view);
+    ApplyNodes(*view);
   } else {
     Event("introduction-unanswered")
         .Text("node", lead->mAddress)
@@ -138,13 +140,13 @@
   }
 }
 
-void ViewExchange::TakeNodes(const SharedView& aView) {
+void ViewExchange::ApplyNodes(const SharedView& aView) {
   const Millis now = mNode.Now();
-  // What stays the same is heard again.
+  // Without a list in the answer, the known nodes are unchanged.
   const std::vector<NodeEntry> nodes =
       aView.mNodes ? *aView.mNodes : mNodes.List();
   if (mTable != nullptr) {
-    // The hosts that ask this node are known better here.
+    // This node knows the hosts that ask it better than the sender does.
     mNodes.HeardOf(nodes, now);
   } else {
     mNodes.Adopt(nodes, now);
@@ -152,20 +154,20 @@
   if (aView.mLead) {
     mLead.Learn(*aView.mLead);
   }
-  mLargeTold = aView.mLarge;
+  mLargeReported = aView.mLarge;
 }
 
-size_t ViewExchange::CountedHosts() const {
-  const bool all = mListedAt && *mListedAt - mListsSince >= kCountFor;
+size_t ViewExchange::HostCount() const {
+  const bool all = mListedAt && *mListedAt - mListingSince >= kFullContactTime;
   if (!all) {
     return 0;
   }
-  // Hosts spread evenly over the candidates that tell them subsets.
-  const size_t tellers =
+  // Hosts spread evenly over the candidates that send them subsets.
+  const size_t subsetSources =
       mTable == nullptr
           ? 1
           : mNodes.Candidates(mNode.mIdentity.mAddress).size() + 1;
-  return mNodes.Hosts() * tellers;
+  return mNodes.Hosts() * subsetSources;
 }
 
 }  // namespace rillwall
--- a/src/librillwall_rollout/weight_orders.cpp
+++ b/src/librillwall_rollout/weight_orders.cpp
@@ -9,21 +9,21 @@
 namespace {
 
 constexpr Millis kTick{50};
-/// Weight of a step's work in its model's smoothed demand.
+/// Weight of a new step's work in its model's smoothed demand.
 constexpr double kDemandWeight = 0.3;
-/// One of so many replicas loads at once: loads share the bandwidth of the
-/// weight store, and the others go on serving.
+/// One of this many replicas loads at a time: loads share the bandwidth of the
+/// weight store, and the other replicas go on serving.
 constexpr size_t kReplicasPerLoad = 5;
-/// A plan that orders nothing is worked out again after a ms for so many
-/// replicas: it costs as much more processor time as there are more of them.
-/// With a hundred it is worked out at each tick.
-constexpr int64_t kReplicasPerQuietMs = 3;
-/// First look at a loading replica; no deployment loads faster.
-constexpr Millis kFirstLook{850};
-constexpr Millis kLookEvery{150};
-/// A load that is not done by then is looked at anew.
-constexpr Millis kLoadLimit{8000};
-/// Before an order that got no answer is sent again.
+/// After a plan that ordered nothing, the next one is made after 1 ms for each
+/// group of this many replicas, as the processor time of a plan grows with
+/// their number. With a hundred replicas, a plan is made at each tick.
+constexpr int64_t kReplicasPerPauseMs = 3;
+/// First poll of a loading replica; no deployment loads faster.
+constexpr Millis kFirstLoadPoll{850};
+constexpr Millis kLoadPollInterval{150};
+/// A load that has not ended by then is planned again.
+constexpr Millis kLoadTimeout{8000};
+/// Pause before an order without an answer is sent again.
 constexpr Millis kRetryPause{300};
 
 size_t LoadsAtOnce(size_t aReplicas) {
@@ -43,7 +43,7 @@
       .Write();
 }
 
-const char* AnswerName(OrderOutcome aAnswer) {
+const char* OutcomeName(OrderOutcome aAnswer) {
   switch (aAnswer) {
     case OrderOutcome::Started:
       return "started";
@@ -73,12 +73,12 @@
 
 void WeightOrders::SetTargetVersion(const std::string& aModel,
                                     int64_t aVersion) {
-  int64_t& named = mNamed[aModel];
-  if (aVersion <= named) {
+  int64_t& targetVersion = mTargetVersions[aModel];
+  if (aVersion <= targetVersion) {
     return;
   }
-  named = aVersion;
-  mQuietUntil.clear();
+  targetVersion = aVersion;
+  mPlanPausedUntil.clear();
   Event("version-named")
       .Text("model", aModel)
       .Number("version", aVersion)
@@ -86,8 +86,8 @@
 }
 
 int64_t WeightOrders::TargetVersion(const std::string& aModel) const {
-  const auto found = mNamed.find(aModel);
-  return found == mNamed.end() ? 0 : found->second;
+  const auto found = mTargetVersions.find(aModel);
+  return found == mTargetVersions.end() ? 0 : found->second;
 }
 
 asio::awaitable<void> WeightOrders::Run() {
@@ -110,8 +110,8 @@
       mNode.mReplicas.OfService(aService.mName);
   const size_t most = LoadsAtOnce(replicas.size());
   const Millis now = mNode.Now();
-  if (LoadingOf(replicas) >= most || now < mQuietUntil[aService.mName]) {
-    // As it is most of the time: nothing is worked out.
+  if (LoadingOf(replicas) >= most || now < mPlanPausedUntil[aService.mName]) {
+    // The usual case, which returns before any planning.
     return;
   }
   const std::vector<LoadTarget> targets = TargetsOf(aService);
@@ -140,7 +140,8 @@
       PlanLoads(std::move(candidates), targets, most);
   if (picks.empty()) {
     const auto count = static_cast<int64_t>(replicas.size());
-    mQuietUntil[aService.mName] = now + Millis(count / kReplicasPerQuietMs);
+    mPlanPausedUntil[aService.mName] =
+        now + Millis(count / kReplicasPerPauseMs);
   }
   for (const LoadPick& pick : picks) {
     mLoading[pick.mReplica] = {pick.mModel, pick.mVersion};
@@ -158,11 +159,11 @@
       continue;
     }
     const auto lag = mLags.find(model);
-    const auto texts = mTexts.find(model);
+    const auto texts = mMaxTexts.find(model);
     targets.push_back(
-        {model, version, DemandOf(model), !KeepsRuns(model),
+        {model, version, DemandOf(model), !MustFinishRuns(model),
          lag == mLags.end() ? AllowedLag().Versions() : lag->second.Versions(),
-         texts == mTexts.end() ? 0 : texts->second});
+         texts == mMaxTexts.end() ? 0 : texts->second});
   }
   return targets;
 }
@@ -205,15 +206,16 @@
   if (TargetVersion(aSpec.mModel) > 0) {
     mLags[aSpec.mModel].Observe(TargetVersion(aSpec.mModel), aSpec.mMinVersion);
   }
-  int64_t& texts = mTexts[aSpec.mModel];
+  int64_t& texts = mMaxTexts[aSpec.mModel];
   texts = std::max(texts, static_cast<int64_t>(aSpec.mItems.size()));
   double& demand = mDemand[aSpec.mModel];
   demand = demand == 0 ? aWork
                        : demand * (1 - kDemandWeight) + aWork * kDemandWeight;
 }
 
-bool WeightOrders::KeepsRuns(const std::string& aModel) const {
-  // A text of one version can't go on after a change: let it finish.
+bool WeightOrders::MustFinishRuns(const std::string& aModel) const {
+  // A text that must be of one version cannot continue after a change, so it is
+  // allowed to finish.
   const auto routes = mNode.mRoutes.Read();
   for (const Route& route : routes->Routes()) {
     for (const RouteTarget& target : route.mTargets) {
@@ -231,40 +233,41 @@
 }
 
 asio::awaitable<void> WeightOrders::Load(Replica aReplica, LoadPick aPick) {
-  const std::string& aModel = aPick.mModel;
-  const int64_t aVersion = aPick.mVersion;
+  const std::string& model = aPick.mModel;
+  const int64_t version = aPick.mVersion;
   const Result<ReplicaReport> report = co_await mControl.Report(aReplica);
   VersionOrder order;
-  order.mModel = aModel;
-  order.mVersion = aVersion;
+  order.mModel = model;
+  order.mVersion = version;
   order.mCutRuns = aPick.mCutRuns;
   order.mHolder = mNode.mIdentity.mName;
   order.mFence = mLead.Fence();
   bool started = false;
-  if (report && report->VersionOf(aModel) >= aVersion) {
-    mNode.mReplicas.Learn(aReplica.mId, aModel, report->VersionOf(aModel));
+  if (report && report->VersionOf(model) >= version) {
+    mNode.mReplicas.Learn(aReplica.mId, model, report->VersionOf(model));
   } else if (report && report->mBusy) {
     started = true;
   } else if (report && mLead.MayOrder()) {
     order.mExpected = report->mSequence;
-    mNode.mReplicas.PauseModel(aReplica.mId, aModel, mNode.Now() + kFirstLook);
+    mNode.mReplicas.PauseModel(aReplica.mId, model,
+                               mNode.Now() + kFirstLoadPoll);
     const Result<OrderOutcome> answer =
         co_await mControl.Order(aReplica, order);
     LogOrder(aReplica, order,
-             answer ? AnswerName(*answer) : answer.error().Detail().c_str());
+             answer ? OutcomeName(*answer) : answer.error().Detail().c_str());
     mNode.mMetrics.Count("orders_total");
     started = !answer || *answer == OrderOutcome::Started;
     if (answer && *answer == OrderOutcome::AlreadyDone) {
-      mNode.mReplicas.Learn(aReplica.mId, aModel, aVersion);
+      mNode.mReplicas.Learn(aReplica.mId, model, version);
     }
   }
   if (started) {
-    co_await AwaitLoaded(aReplica, aModel, aVersion);
+    co_await AwaitLoaded(aReplica, model, version);
   } else {
     co_await Sleep(mNode.mIo, kRetryPause);
   }
   mLoading.erase(aReplica.mId);
-  mQuietUntil.clear();
+  mPlanPausedUntil.clear();
   if (mOnLoaded) {
     mOnLoaded();
   }
@@ -274,8 +277,8 @@
                                                 std::string aModel,
                                                 int64_t aVersion) {
   const Millis begun = mNode.Now();
-  co_await Sleep(mNode.mIo, kFirstLook);
-  while (mNode.Now() < begun + kLoadLimit && !mNode.mStopping) {
+  co_await Sleep(mNode.mIo, kFirstLoadPoll);
+  while (mNode.Now() < begun + kLoadTimeout && !mNode.mStopping) {
     const Result<ReplicaReport> report = co_await mControl.Report(aReplica);
     const int64_t version = report ? report->VersionOf(aModel) : 0;
     if (report && !report->mBusy) {
@@ -290,8 +293,9 @@
           .Write();
       co_return version >= aVersion;
     }
-    mNode.mReplicas.PauseModel(aReplica.mId, aModel, mNode.Now() + kLookEvery);
-    co_await Sleep(mNode.mIo, kLookEvery);
+    mNode.mReplicas.PauseModel(aReplica.mId, aModel,
+                               mNode.Now() + kLoadPollInterval);
+    co_await Sleep(mNode.mIo, kLoadPollInterval);
   }
   co_return false;
 }
