--- a/src/include/rillwall/usage_reporter.h
+++ b/src/include/rillwall/usage_reporter.h
@@ -4,12 +4,12 @@
 ///
 /// A report is fixed in the store, under the lead's claim, before it is first
 /// sent. It is therefore the same whoever sends it and however often. It is
-/// fixed when every host has told its counts, or at the last safe moment. Each
-/// window costs one call to the store and one to the platform; there are no
-/// other calls while the lead does not change.
+/// fixed when every host has reported its counts, or at the last safe moment.
+/// Each window costs one call to the store and one to the platform; there are
+/// no other calls while the lead does not change.
 ///
 /// Two things remain uncertain, and the log names them: the counts of hosts
-/// that were killed or could not be heard, and whether a report without an
+/// that were killed or could not be reached, and whether a report without an
 /// answer was accepted. Such a report is sent again, which changes nothing if
 /// it was accepted.
 
@@ -53,7 +53,7 @@
 
   /// \param aDelay time after a window's end at which its report is due
   void SetReportDelay(Millis aDelay) { mReportDelay = aDelay; }
-  /// Records the counts that a host told.
+  /// Records the counts that a host reported.
   /// \param aText whole counts of the windows that changed; empty if the host
   /// has no new counts
   void Take(const NodeEntry& aFrom, const std::string& aText);
@@ -74,7 +74,8 @@
   asio::awaitable<bool> Recover();
   /// \return whether the report of a window may be fixed now
   bool MayFixReport(int64_t aWindow) const;
-  /// \return the report of the next window from the counts that hosts have told
+  /// \return the report of the next window from the counts that hosts have
+  /// reported
   UsageReport Collect();
   /// \return the change that fixes a report and removes the reports that the
   /// platform has accepted
--- a/src/include/rillwall/view_exchange.h
+++ b/src/include/rillwall/view_exchange.h
@@ -11,9 +11,10 @@
 ///
 /// Cost, with H nodes and R replicas: a node that knows nothing is sent R
 /// entries of some 200 bytes once, from a text that is encoded once for all
-/// nodes. A node that knows the list is sent the changes. Entry hosts are sent
-/// no weight versions, so that a question without changes costs some 150 bytes.
-/// The list of nodes is bounded (NodeDirectory).
+/// nodes. A node that knows the list is sent the changes. Entry hosts (which
+/// accept client requests) are sent no weight versions, so that a question
+/// without changes costs some 150 bytes. The list of nodes is bounded
+/// (NodeDirectory).
 ///
 /// With very many replicas (RegistryTable::kWholeService) every candidate reads
 /// the store itself, and an entry host asks a candidate of its own availability
--- a/src/librillwall_rollout/crash_guard.cpp
+++ b/src/librillwall_rollout/crash_guard.cpp
@@ -49,7 +49,7 @@
   }
   return Error(ErrorKind::Unavailable,
                "Replicas have ended while they ran this request, one after "
-               "another; it is not run again for now (" +
+               "another, so it is held and not run for now (" +
                    aRequest.Text() + ").",
                RunState::NotRun)
       .After(left);
--- a/src/librillwall_rollout/crash_guard.h
+++ b/src/librillwall_rollout/crash_guard.h
@@ -42,7 +42,7 @@
 void ClearRequest(NodeContext& aNode, const RequestDigest& aRequest,
                   std::string_view aId);
 
-/// Merges records that another host told or that the store holds, and logs the
+/// Merges records that another host sent or that the store holds, and logs the
 /// new ones.
 /// \param aFrom source of the records, for the log
 void MergeCrashRecords(NodeContext& aNode,
--- a/src/librillwall_rollout/crash_sync.cpp
+++ b/src/librillwall_rollout/crash_sync.cpp
@@ -98,7 +98,8 @@
     ++failures;
     Event("crash-unsaved")
         .Number("records", static_cast<int64_t>(records.size()))
-        .Text("why", done ? "not applied" : done.error().Detail())
+        .Text("why", done ? "the store did not apply the change"
+                          : done.error().Detail())
         .Write();
     const Millis pause =
         FailurePause(failures, kFirstWritePause, kLongestWritePause);
--- a/src/librillwall_rollout/item_run.cpp
+++ b/src/librillwall_rollout/item_run.cpp
@@ -123,7 +123,7 @@
     return ItemRunEnd::Refused;
   }
   if (id == nullptr || *id != aStep.mBook.Item(aItem).mId) {
-    aWhy = "the answer belongs to another request";
+    aWhy = "the response belongs to another request";
     return ItemRunEnd::Broken;
   }
   if (aHead.mStatus == kUnprocessable) {
@@ -241,7 +241,7 @@
   }
   const int64_t version = NumberOr(head.Find(aNode.mHeaders.mWeightVersion), 0);
   if (!AcceptVersion(aNode, aStep, aItem, aReplica, version)) {
-    aWhy = "weights of version " + std::to_string(version);
+    aWhy = "unsuitable weight version " + std::to_string(version);
     co_return ItemRunEnd::Broken;
   }
   aStep.mStreams[aItem] = stream.get();
@@ -253,7 +253,7 @@
   const int64_t minVersion = aStep.mBook.Spec().mMinVersion;
   if (!text.Fits(minVersion, aStep.mRoute.mSingleVersion)) {
     // The weights changed during the stream: none of its text can be used.
-    aWhy = "the text is of several versions";
+    aWhy = "the weight versions of the text do not fit the step";
     text = RolloutText();
     end = end == ItemRunEnd::Stopped ? end : ItemRunEnd::Broken;
   }
--- a/src/librillwall_rollout/lead_claim.cpp
+++ b/src/librillwall_rollout/lead_claim.cpp
@@ -183,7 +183,7 @@
   } else if (alive) {
     mRenewedAt = asked;
   } else if (mNode.Now() > mRenewedAt + kClaimTtl) {
-    DropClaim("no renewal got through");
+    DropClaim("no renewal succeeded within the lease time");
   }
 }
 
@@ -195,7 +195,7 @@
   }
   const NodeIdentity& self = mNode.mIdentity;
   const StoreItem* claim = nullptr;
-  // If the key is missing, nobody has ever given orders.
+  // If kLastOrderingHostKey is missing, nobody has ever given orders.
   bool orderedLast = true;
   for (const StoreItem& item : list->mItems) {
     if (item.mKey == kLeadKey) {
@@ -270,8 +270,8 @@
         .Number("lease", aLease)
         .Number("misses", misses)
         .Text("why", failed ? failed->Detail()
-                            : "neither this node nor others "
-                              "reach its holder")
+                            : "neither this node nor other nodes "
+                              "reach the holder")
         .Write();
     if (!failed) {
       mUnreachableHolder = aAddress;
--- a/src/librillwall_rollout/rollout_accept.cpp
+++ b/src/librillwall_rollout/rollout_accept.cpp
@@ -162,7 +162,7 @@
                            now - aAcceptance->mLastAskedAt > kAbandonAfter;
     if (forgotten || mNode.mStopping) {
       aAcceptance->mAbandoned = true;
-      Discard(aAcceptance, "nobody submits it any more");
+      Discard(aAcceptance, "it was not submitted again");
       break;
     }
     co_await Sleep(mNode.mIo, pause);
--- a/src/librillwall_rollout/rollout_listing.cpp
+++ b/src/librillwall_rollout/rollout_listing.cpp
@@ -203,9 +203,12 @@
       }
       aStep->mWriteUncertain = true;
       if (aStep->mRunning) {
-        Drop(aStep, owner ? "the store holds something else than is known here"
-                          : "a page was refused, as the step has moved or "
-                            "ended");
+        Drop(
+            aStep,
+            owner
+                ? "the contents of the store differ from this node's"
+                : "the store refused a page, as the step was taken over or has "
+                  "ended");
       }
       co_return false;
     }
--- a/src/librillwall_rollout/rollout_recovery.cpp
+++ b/src/librillwall_rollout/rollout_recovery.cpp
@@ -216,7 +216,8 @@
     co_return record.error();
   }
   if (!record->mEnded) {
-    co_return Error(ErrorKind::Unavailable, "The step is open elsewhere.");
+    co_return Error(ErrorKind::Unavailable,
+                    "The step is still open at another node.");
   }
   Result<std::vector<RolloutResult>> listed = co_await LoadPages(aId);
   if (!listed) {
@@ -237,7 +238,8 @@
   const auto routes = mNode.mRoutes.Read();
   const Route* route = routes->Find(aRecord.mHost, aRecord.mPath);
   if (route == nullptr) {
-    co_return Error(ErrorKind::Unavailable, "The step's route is not known.");
+    co_return Error(ErrorKind::Unavailable,
+                    "This node knows no route for the step.");
   }
   const NodeIdentity& self = mNode.mIdentity;
   const std::string before = aRecord.mOwner;
@@ -257,7 +259,8 @@
     co_return done.error();
   }
   if (!done->mApplied) {
-    co_return Error(ErrorKind::Unavailable, "The step has just moved.");
+    co_return Error(ErrorKind::Unavailable,
+                    "Another node has just taken the step over.");
   }
   // From here on no previous owner can append.
   Result<std::string> body = co_await LoadBody(aId);
--- a/src/librillwall_rollout/rollout_run.cpp
+++ b/src/librillwall_rollout/rollout_run.cpp
@@ -86,10 +86,10 @@
   const auto whole = [](double aMs) {
     return std::to_string(std::llround(aMs));
   };
-  return whole(aMove.mPaceHere) + " ms an event here, " +
-         whole(aMove.mPaceThere) + " there, " +
+  return whole(aMove.mPaceHere) + " ms per event at the current replica, " +
+         whole(aMove.mPaceThere) + " at the target, " +
          std::to_string(ExpectedRest(aMove.mEvents, aMove.mExpected)) +
-         " to come";
+         " events expected";
 }
 
 }  // namespace
@@ -304,7 +304,7 @@
       Event("item-terminated")
           .Id(book.Item(aItem).mId)
           .Text("step", aStep->Id())
-          .Text("why", "its scorer failed")
+          .Text("why", "the scorer failed")
           .Number("failures", failures)
           .Write();
       book.Impossible(aItem);
--- a/src/librillwall_rollout/rollout_service.cpp
+++ b/src/librillwall_rollout/rollout_service.cpp
@@ -173,7 +173,8 @@
   }
   const auto found = mSteps.find(aId);
   if (found == mSteps.end()) {
-    co_return Error(ErrorKind::Unavailable, "The step has moved.");
+    co_return Error(ErrorKind::Unavailable,
+                    "Another node serves the step now.");
   }
   const StepPtr step = found->second;
   const Millis until = mNode.Now() + aWait;
@@ -244,9 +245,9 @@
   const auto found = mSteps.find(aId);
   if (found == mSteps.end()) {
     const bool ended = mArchives.Knows(aId);
-    co_return ended
-        ? std::nullopt
-        : std::optional(Error(ErrorKind::Unavailable, "The step has moved."));
+    co_return ended ? std::nullopt
+                    : std::optional(Error(ErrorKind::Unavailable,
+                                          "Another node serves the step now."));
   }
   const StepPtr step = found->second;
   StopRuns(*step);
@@ -277,8 +278,9 @@
   if (!done->mApplied && current != nullptr) {
     const Result<StepRecord> now = DecodeStepRecord(current->mValue);
     if (now && !now->mEnded) {
-      Drop(step, "ended after it had moved");
-      co_return Error(ErrorKind::Unavailable, "The step has moved.");
+      Drop(step, "another node took the step over before it ended");
+      co_return Error(ErrorKind::Unavailable,
+                      "Another node serves the step now.");
     }
   }
   step->mRecord = record;
--- a/src/librillwall_rollout/rollout_step.h
+++ b/src/librillwall_rollout/rollout_step.h
@@ -81,8 +81,8 @@
   bool mSpooling = false;  ///< texts are being written to the disk
   Millis mLastSpoolAt;     ///< when the last write to the disk began
   Millis mLastWriteAt;     ///< when the last write to the store began
-  std::optional<Millis>
-      mUnwrittenSince;           ///< since when there is an unwritten result
+  /// Since when there is an unwritten result.
+  std::optional<Millis> mUnwrittenSince;
   std::optional<Millis> mDueAt;  ///< when the trainer wants the results
   Millis mGiveUpAt;              ///< when unfinished items are given up
   Millis mVerifiedAt;  ///< when the store was last asked and named this owner
--- a/src/librillwall_rollout/rollout_verify.cpp
+++ b/src/librillwall_rollout/rollout_verify.cpp
@@ -24,7 +24,7 @@
     const bool ended = aStep->mRecord.mEnded && !aStep->mWriteUncertain;
     co_return ended ? std::nullopt
                     : std::optional(Error(ErrorKind::Unavailable,
-                                          "The step is not owned here."));
+                                          "This node does not own the step."));
   }
   const Millis begun = mNode.Now();
   if (begun - aStep->mVerifiedAt < kMaxVerifiedAge) {
@@ -40,7 +40,8 @@
       aStep->mRunning && begun - aStep->mVerifiedAt < kMaxVerifiedAge;
   co_return verified
       ? std::nullopt
-      : std::optional(Error(ErrorKind::Unavailable, "The step has moved."));
+      : std::optional(
+            Error(ErrorKind::Unavailable, "Another node serves the step now."));
 }
 
 asio::awaitable<std::optional<Error>> RolloutService::VerifyAll() {
@@ -94,9 +95,10 @@
   }
   if (!*item || (*item)->mRevision != aStep->mRevision) {
     if (aStep->mRunning) {
-      Drop(aStep, "the store names another owner or its end");
+      Drop(aStep, "the store names another owner, or the step has ended");
     }
-    co_return Error(ErrorKind::Unavailable, "The step has moved.");
+    co_return Error(ErrorKind::Unavailable,
+                    "Another node serves the step now.");
   }
   aStep->mVerifiedAt = std::max(aStep->mVerifiedAt, asked);
   co_return std::nullopt;
--- a/src/librillwall_rollout/step_spool.cpp
+++ b/src/librillwall_rollout/step_spool.cpp
@@ -144,7 +144,7 @@
   const auto append = [](StepSpool* aSelf, std::string aPath,
                          std::string aLine) -> asio::awaitable<std::string> {
     if (aSelf->mBytes + aLine.size() > aSelf->mMaxBytes) {
-      co_return std::string("the files are as large as they may be");
+      co_return std::string("the size limit of the spool files is reached");
     }
     aSelf->mBytes += aLine.size();
     co_return AppendToFile(aPath, aLine);
@@ -168,7 +168,10 @@
     co_await Sleep(mIo, kLoadPoll);
   }
   if (!*loaded) {
-    Event("spool-unread").Id(aStep).Text("why", "the disk hangs").Write();
+    Event("spool-unread")
+        .Id(aStep)
+        .Text("why", "the disk did not answer in time")
+        .Write();
     co_return Parts();
   }
   co_return std::move(**loaded);
--- a/src/librillwall_rollout/suspects.cpp
+++ b/src/librillwall_rollout/suspects.cpp
@@ -69,7 +69,7 @@
   if (!request) {
     return ErrorAnswer(
         Error(ErrorKind::BadRequest,
-              "The request is not named by its 32 hexadecimal digits; take "
+              "The parameter 'request' is not 32 hexadecimal digits; take "
               "them from `rillwall suspects` or from a log line."));
   }
   const std::string action = aRequest.Query("action");
@@ -79,7 +79,8 @@
   }
   if (action != "clear") {
     return ErrorAnswer(
-        Error(ErrorKind::BadRequest, "The action is neither clear nor hold."));
+        Error(ErrorKind::BadRequest,
+              "The parameter 'action' is neither 'clear' nor 'hold'."));
   }
   if (aNode.mCrashes.Crashes(*request) == 0) {
     return ErrorAnswer(Error(ErrorKind::NotFound,
--- a/src/librillwall_rollout/upstream_call.cpp
+++ b/src/librillwall_rollout/upstream_call.cpp
@@ -36,8 +36,8 @@
   const UpstreamCall mCall;
   CallAttempts mAttempts;
   ReplicaWish mRequirements;
-  std::optional<UpstreamResponse>
-      mFailedResponse;    ///< best response among failed tries
+  /// Best response among failed tries.
+  std::optional<UpstreamResponse> mFailedResponse;
   bool mCounted = false;  ///< the request has begun to run at some replica
   std::optional<RequestDigest> mDigest;  ///< computed on first use
 };
@@ -270,7 +270,7 @@
   const HttpResponse& head = stream->Head();
   if (!BelongsToCall(aRun, head)) {
     result.mEnd = TryEnd::Lost;
-    result.mWhy = "the answer belongs to another request";
+    result.mWhy = "the response belongs to another request";
     co_return result;
   }
   ObserveLoad(node, aReplica.mId, head);
--- a/src/librillwall_rollout/usage_reporter.cpp
+++ b/src/librillwall_rollout/usage_reporter.cpp
@@ -11,8 +11,8 @@
 /// How often to check what is due; far shorter than the time that a report has.
 constexpr Millis kTick{100};
 /// A request that was sent in a window is counted once it is answered, and its
-/// host tells the count with its next question. Clients of plain requests wait
-/// 1.5 s.
+/// host reports the count with its next question. Clients of plain requests
+/// wait 1.5 s.
 constexpr Millis kSettleDelay{1600};
 /// Within this time every host has learned of a new lead and told it all
 /// counts, with its second question at the latest.
@@ -153,7 +153,7 @@
     const StoreItem* before = done->Find(UsageKey(report.mWindow));
     const Result<UsageReport> known =
         before == nullptr
-            ? Error(ErrorKind::Stale, "The lead's claim has changed hands.")
+            ? Error(ErrorKind::Stale, "Another node holds the lead claim now.")
             : DecodeUsageReport(before->mValue);
     if (!known) {
       // Read the fixed reports again if this host still leads.
--- a/src/librillwall_rollout/view_exchange.cpp
+++ b/src/librillwall_rollout/view_exchange.cpp
@@ -365,7 +365,7 @@
   const std::optional<std::string> address = AddressOf(aSource);
   const Result<Endpoint> endpoint =
       address ? Endpoint::Parse(*address)
-              : Error(ErrorKind::Unavailable, "No such node is known.");
+              : Error(ErrorKind::Unavailable, "No node of this kind is known.");
   if (!endpoint) {
     mPlan.Missed(aSource, mNode.Now());
     co_return std::nullopt;
@@ -387,7 +387,7 @@
   if (!view || !ageMs) {
     Event("view-unread")
         .Text("node", *address)
-        .Text("why", view ? "it has no age" : view.error().Detail())
+        .Text("why", view ? "the answer has no age" : view.error().Detail())
         .Write();
     mPlan.Missed(aSource, mNode.Now());
     co_return std::nullopt;
--- a/src/librillwall_rollout/view_exchange_test.cpp
+++ b/src/librillwall_rollout/view_exchange_test.cpp
@@ -640,10 +640,10 @@
     CPPUNIT_ASSERT(!ConfirmUnreachable(candidate, kGone));
   }
 
-  // A node is told a dozen of the others, and the lead need not be among them.
-  // With two dozen candidates and 250 entry hosts, a lead that was unreachable
-  // for half a second lost its claim because peers that did not know it were
-  // counted as not reaching it.
+  // A node learns of a dozen of the others, and the lead need not be among
+  // them. With two dozen candidates and 250 entry hosts, a lead that was
+  // unreachable for half a second lost its claim because peers that did not
+  // know it were counted as not reaching it.
   void PeersDoNotReportOnUnknownNodes() {
     Node candidate{mWorld, "candidate", false};
     candidate.mNodes.Adopt({mEntry.Entry()}, candidate.Now());
--- a/src/librillwall_rollout/view_subset.cpp
+++ b/src/librillwall_rollout/view_subset.cpp
@@ -114,7 +114,7 @@
   const Result<Endpoint> endpoint =
       lead && lead->mAddress != self.mAddress
           ? Endpoint::Parse(lead->mAddress)
-          : Error(ErrorKind::Unavailable, "Nobody else leads.");
+          : Error(ErrorKind::Unavailable, "No other node leads.");
   if (!endpoint) {
     co_return;
   }
