--- a/src/include/rillwall/crash_sync.h
+++ b/src/include/rillwall/crash_sync.h
@@ -6,7 +6,7 @@
 /// record therefore counts even if no host leads or the lead changes at that
 /// moment, and it outlives all hosts. The lead, and a helper that stands in for
 /// it, watch these keys and pass new records on with their next answers to view
-/// questions. A host that gets no such answers reads the records from the store
+/// requests. A host that gets no such answers reads the records from the store
 /// together with the registry. A record thus spreads as fast as the news that a
 /// replica leaves, within the bound for that, even when the lead is lost.
 ///
@@ -25,7 +25,7 @@
 namespace rillwall {
 
 /// Writes this host's crash records to the store, and follows those of other
-/// hosts while this host answers view questions.
+/// hosts while this host answers view requests.
 class CrashSync {
  public:
   /// \param aServesOthers returns whether other hosts ask this host for what
--- a/src/include/rillwall/view_exchange.h
+++ b/src/include/rillwall/view_exchange.h
@@ -12,15 +12,15 @@
 /// Cost, with H nodes and R replicas: a node that knows nothing is sent R
 /// entries of some 200 bytes once, from a text that is encoded once for all
 /// nodes. A node that knows the list is sent the changes. Entry hosts (which
-/// accept client requests) are sent no weight versions, so that a question
+/// accept client requests) are sent no weight versions, so that a view request
 /// without changes costs some 150 bytes. The list of nodes is bounded
 /// (NodeDirectory).
 ///
 /// With very many replicas (RegistryTable::kWholeService) every candidate reads
 /// the store itself, and an entry host asks a candidate of its own availability
 /// zone, which sends it a subset. The bytes, state and connections of a host
-/// then do not grow with R, and the lead does not answer all H nodes. A
-/// question without changes costs one comparison; after a change, it costs K
+/// then do not grow with R, and the lead does not answer all H nodes. A view
+/// request without changes costs one comparison; after a change, it costs K
 /// look-ups for a subset of K replicas.
 
 #pragma once
@@ -57,7 +57,8 @@
   std::optional<ConfigText> mConfig;  ///< set if newer than the one known here
 };
 
-/// Asks other nodes for their view of the store, and answers such questions.
+/// Asks other nodes for their view of the store, and answers such view
+/// requests.
 class ViewExchange {
  public:
   ViewExchange(NodeContext& aNode, LeadClaim& aLead, NodeDirectory& aNodes);
@@ -66,7 +67,7 @@
   /// Returns whether this node owns steps, and therefore needs weight versions.
   std::function<bool()> mOwnsSteps = [] { return false; };
   /// Called on the lead with a node and the usage counts that came with its
-  /// question.
+  /// view request.
   std::function<void(const NodeEntry&, const std::string&)> mOnUsage;
   /// \return the plan of when to ask which source
   ViewPlan& Plan() { return mPlan; }
@@ -115,9 +116,9 @@
   /// Sets whether this node follows the configuration in the store itself.
   void Follows(bool aFollows);
 
-  /// Answers another node's question. The status is 503 if this node has never
-  /// read the store itself; a header tells if the reason is that the store does
-  /// not answer.
+  /// Answers another node's view request. The status is 503 if this node has
+  /// never read the store itself; a header tells if the reason is that the
+  /// store does not answer.
   HttpResponse Answer(const HttpRequest& aRequest);
   /// Answers with the compressed text of the configuration.
   HttpResponse HandleConfigRequest();
@@ -132,7 +133,7 @@
   asio::awaitable<bool> ConfirmUnreachable(std::string aAddress);
 
  private:
-  /// The parts of a question that its answer depends on.
+  /// The parts of a view request that its answer depends on.
   struct AnswerKey {
     bool mVersions = false;
     ReplicaMark mKnown;
@@ -151,9 +152,9 @@
   void SkipSubsetSource();
   /// \return which kinds of sources this node knows
   ViewContacts Contacts() const;
-  /// \return the question to a source, with the usage counts that the lead
+  /// \return the view request to a source, with the usage counts that the lead
   /// lacks
-  HttpRequest MakeQuestion(ViewSource aSource, const std::string& aAddress);
+  HttpRequest MakeViewRequest(ViewSource aSource, const std::string& aAddress);
   /// \return the address of the node to ask, if one is known
   std::optional<std::string> AddressOf(ViewSource aSource) const;
   /// Records that a source gave no usable answer, and selects the next one to
@@ -171,9 +172,9 @@
   std::optional<std::string> SubsetSource() const;
   bool Leads(const std::string& aAddress) const;
   /// \return an encoded answer with a subset of the replicas
-  std::string SubsetText(const ViewQuestion& aQuestion, bool aNodes);
+  std::string SubsetText(const ViewQuestion& aViewRequest, bool aNodes);
   /// \return the subset of the replicas for the asking node, if it changed
-  ReplicaDelta SubsetOf(const ViewQuestion& aQuestion) const;
+  ReplicaDelta SubsetOf(const ViewQuestion& aViewRequest) const;
   /// Sets the fields that are the same in all answers.
   void AddCommonFields(SharedView& aView, int64_t aCrashes, bool aNodes) const;
   /// \return the number of entry hosts; 0 while some of them may not have asked
--- a/src/librillwall_rollout/usage_reporter.cpp
+++ b/src/librillwall_rollout/usage_reporter.cpp
@@ -11,11 +11,11 @@
 /// How often to check what is due; far shorter than the time that a report has.
 constexpr Millis kTick{100};
 /// A request that was sent in a window is counted once it is answered, and its
-/// host reports the count with its next question. Clients of plain requests
+/// host reports the count with its next view request. Clients of plain requests
 /// wait 1.5 s.
 constexpr Millis kSettleDelay{1600};
 /// Within this time every host has learned of a new lead and told it all
-/// counts, with its second question at the latest.
+/// counts, with its second view request at the latest.
 constexpr Millis kTakeoverDelay{2500};
 /// Percentage of the report delay after which a report is fixed even if hosts
 /// are missing. The rest covers an outage of the store or of the platform that
--- a/src/librillwall_rollout/view_exchange.cpp
+++ b/src/librillwall_rollout/view_exchange.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// How long a node goes on reading the store after it was asked in place of the
-/// lead: some questions later, each node that asked has asked again or found
+/// lead: some requests later, each node that asked has asked again or found
 /// the lead.
 constexpr Millis kHelpDuration{5000};
 /// Limit for encoded answers: they differ for nodes that are some changes
@@ -39,7 +39,7 @@
 constexpr char kAgeHeader[] = "Rillwall-View-Age";
 /// In answers with status 503: the store does not answer the node.
 constexpr char kStoreAwayHeader[] = "Rillwall-Store-Away";
-/// In answers: the usage counts that came with the question are recorded.
+/// In answers: the usage counts that came with the request are recorded.
 constexpr char kUsageTakenHeader[] = "Rillwall-Usage-Taken";
 /// After this many misses of a late lead the store is asked for the lead, as it
 /// may have changed.
@@ -136,16 +136,16 @@
 
 HttpResponse ViewExchange::Answer(const HttpRequest& aRequest) {
   const Millis now = mNode.Now();
-  const ViewQuestion question = DecodeQuestion(
+  const ViewQuestion viewRequest = DecodeQuestion(
       [&](std::string_view aName) { return aRequest.Query(aName); });
-  if (!question.mFrom.mAddress.empty()) {
-    mNodes.Heard(question.mFrom, now);
+  if (!viewRequest.mFrom.mAddress.empty()) {
+    mNodes.Heard(viewRequest.mFrom, now);
   }
   const bool leads = mOnUsage && mLead.Held();
   if (leads) {
-    mOnUsage(question.mFrom, aRequest.mBody);
+    mOnUsage(viewRequest.mFrom, aRequest.mBody);
   }
-  if (question.mHelp && !mLead.Held()) {
+  if (viewRequest.mHelp && !mLead.Held()) {
     const bool begins = !Helping();
     mHelpAskedAt = now;
     if (begins && mOnHelpRequested) {
@@ -163,14 +163,14 @@
   const NodeIdentity& self = mNode.mIdentity;
   mNodes.Heard({self.mAddress, self.mTakesClients, self.mZone}, now);
   AnswerKey key;
-  key.mVersions = question.mVersions;
-  key.mKnown = question.mReplicas;
-  key.mKnown.mNumber = question.mRun == self.mRun ? key.mKnown.mNumber : 0;
-  key.mCrashes = question.mRun == self.mRun ? question.mCrashes : 0;
-  key.mNodes = mNodes.Tag() != question.mNodes;
+  key.mVersions = viewRequest.mVersions;
+  key.mKnown = viewRequest.mReplicas;
+  key.mKnown.mNumber = viewRequest.mRun == self.mRun ? key.mKnown.mNumber : 0;
+  key.mCrashes = viewRequest.mRun == self.mRun ? viewRequest.mCrashes : 0;
+  key.mNodes = mNodes.Tag() != viewRequest.mNodes;
   response = HttpResponse::Json(kOk, mTable == nullptr
                                          ? CachedAnswer(key)
-                                         : SubsetText(question, key.mNodes));
+                                         : SubsetText(viewRequest, key.mNodes));
   response.mHeaders.push_back(
       {kAgeHeader, std::to_string((now - *mListedAt).Count())});
   if (leads && !aRequest.mBody.empty()) {
@@ -293,9 +293,9 @@
 }
 
 asio::awaitable<void> ViewExchange::LookUp() {
-  // All hosts look up the lead when they start, so the first read may be stale.
-  // A lead that it did not find, or that has changed since, is looked up with a
-  // current read.
+  // All hosts look up the lead when they start, so the first read may be stale,
+  // which costs the store less. A lead that it did not find, or that has
+  // changed since, is looked up with a current read.
   const bool first = !std::exchange(mLookedUp, true);
   const Result<std::optional<LeadHolder>> holder = co_await mLead.Holder(first);
   const Millis now = mNode.Now();
@@ -334,22 +334,22 @@
   }
 }
 
-HttpRequest ViewExchange::MakeQuestion(ViewSource aSource,
-                                       const std::string& aAddress) {
+HttpRequest ViewExchange::MakeViewRequest(ViewSource aSource,
+                                          const std::string& aAddress) {
   const NodeIdentity& self = mNode.mIdentity;
-  ViewQuestion question;
-  question.mFrom = {self.mAddress, self.mTakesClients, self.mZone};
-  question.mVersions = !self.mTakesClients || mOwnsSteps();
-  question.mHelp = aSource == ViewSource::Helper || !Leads(aAddress);
-  question.mNodes = mNodes.Tag();
-  if (question.mVersions == mMirrorVersions) {
-    question.mRun = mMirror.Run();
-    question.mReplicas = mMirror.Mark();
-  }
-  const bool sameRun = question.mRun == mCrashesRun;
-  question.mCrashes = sameRun ? mCrashesNumber : 0;
+  ViewQuestion viewRequest;
+  viewRequest.mFrom = {self.mAddress, self.mTakesClients, self.mZone};
+  viewRequest.mVersions = !self.mTakesClients || mOwnsSteps();
+  viewRequest.mHelp = aSource == ViewSource::Helper || !Leads(aAddress);
+  viewRequest.mNodes = mNodes.Tag();
+  if (viewRequest.mVersions == mMirrorVersions) {
+    viewRequest.mRun = mMirror.Run();
+    viewRequest.mReplicas = mMirror.Mark();
+  }
+  const bool sameRun = viewRequest.mRun == mCrashesRun;
+  viewRequest.mCrashes = sameRun ? mCrashesNumber : 0;
   HttpRequest request;
-  request.mTarget = EncodeQuestion(question);
+  request.mTarget = EncodeQuestion(viewRequest);
   if (aSource == ViewSource::Lead && Leads(aAddress)) {
     ToldUsage usageReport{self.mRun, mNode.mUsage.Untold(mLead.Known()->mRun)};
     if (!usageReport.mCounts.empty()) {
@@ -370,7 +370,7 @@
     mPlan.Missed(aSource, mNode.Now());
     co_return std::nullopt;
   }
-  HttpRequest request = MakeQuestion(aSource, *address);
+  HttpRequest request = MakeViewRequest(aSource, *address);
   const std::string leadRun =
       Leads(*address) ? mLead.Known()->mRun : std::string();
   const Millis asked = mNode.Now();
--- a/src/librillwall_rollout/view_exchange_test.cpp
+++ b/src/librillwall_rollout/view_exchange_test.cpp
@@ -116,10 +116,10 @@
                                    *source == ViewSource::Helper);
       return node ? mTest.Run(mView.Ask(*source)) : std::nullopt;
     }
-    /// \return the body of the answer to another node's question
-    std::string AnswerTo(const ViewQuestion& aQuestion) {
+    /// \return the body of the answer to another node's view request
+    std::string AnswerTo(const ViewQuestion& aViewRequest) {
       HttpRequest request;
-      request.mTarget = EncodeQuestion(aQuestion);
+      request.mTarget = EncodeQuestion(aViewRequest);
       return mView.Answer(request).mBody;
     }
     LeadHolder Holder() const {
@@ -283,11 +283,11 @@
     CPPUNIT_ASSERT(subsetSource.mNodes.Knows("10.0.0.7:1"));
     // A node keeps those that asked it.
     CPPUNIT_ASSERT(subsetSource.mNodes.Knows(mEntry.Entry().mAddress));
-    ViewQuestion question;
-    question.mFrom = subsetSource.Entry();
-    question.mVersions = false;
-    question.mReplicasWanted = false;
-    const std::string answer = mSource.AnswerTo(question);
+    ViewQuestion viewRequest;
+    viewRequest.mFrom = subsetSource.Entry();
+    viewRequest.mVersions = false;
+    viewRequest.mReplicasWanted = false;
+    const std::string answer = mSource.AnswerTo(viewRequest);
     CPPUNIT_ASSERT(DecodeView(answer)->mReplicas.mChanged.empty());
     CPPUNIT_ASSERT_MESSAGE(answer, answer.size() < 600);
   }
@@ -323,10 +323,10 @@
   }
 
   void HostsAreCountedOnceAllCanHaveAsked() {
-    ViewQuestion question;
-    question.mFrom = mEntry.Entry();
+    ViewQuestion viewRequest;
+    viewRequest.mFrom = mEntry.Entry();
     const auto told = [&] {
-      return DecodeView(mSource.AnswerTo(question))->mHosts;
+      return DecodeView(mSource.AnswerTo(viewRequest))->mHosts;
     };
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, told());
     const Millis now = mSource.Now();
@@ -389,14 +389,14 @@
     const int64_t number = told.Number();
     mEntry.Ask();
     CPPUNIT_ASSERT_EQUAL(number, told.Number());
-    // Records that the question names as known are not sent again.
-    ViewQuestion question;
-    question.mRun = "giver-run";
-    question.mCrashes = mSource.mTest.mNode.mCrashes.Number();
-    CPPUNIT_ASSERT(DecodeView(mSource.AnswerTo(question))->mCrashes.empty());
-    question.mCrashes = 0;
+    // Records that the request names as known are not sent again.
+    ViewQuestion viewRequest;
+    viewRequest.mRun = "giver-run";
+    viewRequest.mCrashes = mSource.mTest.mNode.mCrashes.Number();
+    CPPUNIT_ASSERT(DecodeView(mSource.AnswerTo(viewRequest))->mCrashes.empty());
+    viewRequest.mCrashes = 0;
     CPPUNIT_ASSERT_EQUAL(
-        size_t{1}, DecodeView(mSource.AnswerTo(question))->mCrashes.size());
+        size_t{1}, DecodeView(mSource.AnswerTo(viewRequest))->mCrashes.size());
   }
 
   void NewLeadSendsItsCrashRecords() {
@@ -575,9 +575,9 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mEntry.Ask()->mReplicas->size());
   }
 
-  // With 165 replicas and 274 nodes, a question without changes is answered in
-  // some 200 bytes, whatever their numbers; a first question in some 200 bytes
-  // for each replica.
+  // With 165 replicas and 274 nodes, a view request without changes is answered
+  // in some 200 bytes, whatever their numbers; a first request in some 200
+  // bytes for each replica.
   void UnchangedAnswersDoNotGrow() {
     constexpr size_t kReplicas = 165;
     constexpr size_t kNodes = 274;
@@ -587,19 +587,19 @@
       replicas.back().mModels = {{"m0", 3}, {"m1", 4}, {"m2", 5}};
     }
     mSource.mView.Listed(replicas, mSource.Now());
-    ViewQuestion question;
-    question.mVersions = false;
+    ViewQuestion viewRequest;
+    viewRequest.mVersions = false;
     for (size_t i = 0; i < kNodes; ++i) {
-      question.mFrom = {"10.0.0.1:" + std::to_string(i), i % 10 != 0};
-      mSource.AnswerTo(question);
+      viewRequest.mFrom = {"10.0.0.1:" + std::to_string(i), i % 10 != 0};
+      mSource.AnswerTo(viewRequest);
     }
-    const std::string first = mSource.AnswerTo(question);
+    const std::string first = mSource.AnswerTo(viewRequest);
     CPPUNIT_ASSERT(first.size() < 200 * kReplicas + 2000);
     const Result<SharedView> view = DecodeView(first);
-    question.mRun = view->mRun;
-    question.mReplicas = {view->mReplicas.mNumber, view->mReplicas.mDigest};
-    question.mNodes = mSource.mNodes.Tag();
-    CPPUNIT_ASSERT(mSource.AnswerTo(question).size() < 250);
+    viewRequest.mRun = view->mRun;
+    viewRequest.mReplicas = {view->mReplicas.mNumber, view->mReplicas.mDigest};
+    viewRequest.mNodes = mSource.mNodes.Tag();
+    CPPUNIT_ASSERT(mSource.AnswerTo(viewRequest).size() < 250);
   }
 
   void OnlyFreshViewsAreWaitedFor() {
--- a/src/librillwall_rollout/view_subset.cpp
+++ b/src/librillwall_rollout/view_subset.cpp
@@ -46,18 +46,18 @@
   return mLead.Held() || Helping() || (candidate && Large());
 }
 
-ReplicaDelta ViewExchange::SubsetOf(const ViewQuestion& aQuestion) const {
+ReplicaDelta ViewExchange::SubsetOf(const ViewQuestion& aViewRequest) const {
   ReplicaDelta delta;
   delta.mNumber = static_cast<int64_t>(mTable->Changes());
-  delta.mDigest = aQuestion.mReplicas.mDigest;
-  const bool sameRun = aQuestion.mRun == mNode.mIdentity.mRun;
-  if (!aQuestion.mReplicasWanted ||
-      (sameRun && aQuestion.mReplicas.mNumber == delta.mNumber)) {
+  delta.mDigest = aViewRequest.mReplicas.mDigest;
+  const bool sameRun = aViewRequest.mRun == mNode.mIdentity.mRun;
+  if (!aViewRequest.mReplicasWanted ||
+      (sameRun && aViewRequest.mReplicas.mNumber == delta.mNumber)) {
     return delta;
   }
-  const NodeEntry& from = aQuestion.mFrom;
+  const NodeEntry& from = aViewRequest.mFrom;
   std::vector<Replica> subset =
-      aQuestion.mVersions
+      aViewRequest.mVersions
           ? mTable->WorkingSet({})
           : WithoutVersions(mTable->SubsetFor({from.mAddress, from.mZone}));
   uint64_t digest = 0;
@@ -72,15 +72,15 @@
   return delta;
 }
 
-std::string ViewExchange::SubsetText(const ViewQuestion& aQuestion,
+std::string ViewExchange::SubsetText(const ViewQuestion& aViewRequest,
                                      bool aNodes) {
   SharedView view;
   view.mRun = mNode.mIdentity.mRun;
-  view.mVersions = aQuestion.mVersions;
+  view.mVersions = aViewRequest.mVersions;
   view.mLarge = true;
-  view.mReplicas = SubsetOf(aQuestion);
-  const bool sameRun = aQuestion.mRun == view.mRun;
-  AddCommonFields(view, sameRun ? aQuestion.mCrashes : 0, aNodes);
+  view.mReplicas = SubsetOf(aViewRequest);
+  const bool sameRun = aViewRequest.mRun == view.mRun;
+  AddCommonFields(view, sameRun ? aViewRequest.mCrashes : 0, aNodes);
   return EncodeView(view);
 }
 
@@ -118,12 +118,12 @@
   if (!endpoint) {
     co_return;
   }
-  ViewQuestion question;
-  question.mFrom = {self.mAddress, self.mTakesClients, self.mZone};
-  question.mVersions = false;
-  question.mReplicasWanted = false;
+  ViewQuestion viewRequest;
+  viewRequest.mFrom = {self.mAddress, self.mTakesClients, self.mZone};
+  viewRequest.mVersions = false;
+  viewRequest.mReplicasWanted = false;
   HttpRequest request;
-  request.mTarget = EncodeQuestion(question);
+  request.mTarget = EncodeQuestion(viewRequest);
   const Result<HttpResponse> answer =
       co_await mNode.mClient.Send(*endpoint, std::move(request), mPlan.Limit());
   const Result<SharedView> view =
