--- a/src/librillwall_rollout/suspects.cpp
+++ b/src/librillwall_rollout/suspects.cpp
@@ -11,10 +11,11 @@
 namespace {
 
 constexpr int kOk = 200;
-/// Stands in records in the place of a replica.
-constexpr char kByHand[] = "by-hand-";
+/// Prefix of the name that takes the place of a replica in records that an
+/// operator makes.
+constexpr char kOperatorRecordPrefix[] = "by-hand-";
 
-json::object RowOf(const NodeContext& aNode, const Suspect& aSuspect) {
+json::object ToJson(const NodeContext& aNode, const Suspect& aSuspect) {
   json::array replicas;
   int64_t last = 0;
   for (const CrashRecord& record : aSuspect.mRecords) {
@@ -37,7 +38,7 @@
 HttpResponse List(const NodeContext& aNode) {
   json::array rows;
   for (const Suspect& suspect : aNode.mCrashes.Suspects()) {
-    rows.emplace_back(RowOf(aNode, suspect));
+    rows.emplace_back(ToJson(aNode, suspect));
   }
   json::object text;
   text["suspects"] = std::move(rows);
@@ -45,13 +46,14 @@
 }
 
 void Hold(NodeContext& aNode, const RequestDigest& aRequest) {
-  // Records of another hour may be there, and have been cleared since.
+  // The time makes the names new: records from an earlier hold may still exist
+  // and have been cleared.
   const int64_t now = aNode.mTimeOfDay();
   for (size_t i = 0; i < CrashTable::kCrashesToHold; ++i) {
-    Replica hand;
-    hand.mId = kByHand + std::to_string(i);
-    hand.mStartedAtMs = now;
-    BlameRequest(aNode, aRequest, hand, {}, "held by an operator");
+    Replica placeholder;
+    placeholder.mId = kOperatorRecordPrefix + std::to_string(i);
+    placeholder.mStartedAtMs = now;
+    RecordCrash(aNode, aRequest, placeholder, {}, "held by an operator");
   }
 }
 
@@ -67,7 +69,7 @@
   if (!request) {
     return ErrorAnswer(
         Error(ErrorKind::BadRequest,
-              "The request is not named by its 32 hexadecimal digits; take "
+              "The parameter 'request' is not 32 hexadecimal digits; take "
               "them from `rillwall suspects` or from a log line."));
   }
   const std::string action = aRequest.Query("action");
@@ -77,7 +79,8 @@
   }
   if (action != "clear") {
     return ErrorAnswer(
-        Error(ErrorKind::BadRequest, "The action is neither clear nor hold."));
+        Error(ErrorKind::BadRequest,
+              "The parameter 'action' is neither 'clear' nor 'hold'."));
   }
   if (aNode.mCrashes.Crashes(*request) == 0) {
     return ErrorAnswer(Error(ErrorKind::NotFound,
