--- a/src/include/rillwall/compression.h
+++ b/src/include/rillwall/compression.h
@@ -20,10 +20,10 @@
 namespace rillwall {
 
 /// \return the text packed; as it is if it is short
-std::string Compressed(std::string aText);
+std::string Compress(std::string aText);
 /// \param aText packed, or as it is
 /// \param aMaxBytes of the text
 /// \return the text, or BadRequest or TooLarge
-Result<std::string> Decompressed(std::string_view aText, size_t aMaxBytes);
+Result<std::string> Decompress(std::string_view aText, size_t aMaxBytes);
 
 }  // namespace rillwall
--- a/src/include/rillwall/error.h
+++ b/src/include/rillwall/error.h
@@ -76,12 +76,14 @@
   /// \return detail and remedy in one line
   std::string Message() const;
   /// \return the same error with another run state
-  Error With(RunState aRun) const { return Error(mKind, mDetail, aRun); }
+  Error WithRunState(RunState aRun) const {
+    return Error(mKind, mDetail, aRun);
+  }
 
   /// \return when to come back; 0 if the kind does not say
   Millis RetryAfter() const { return mRetryAfter; }
   /// \return the same error with a time to come back
-  Error After(Millis aSpan) const {
+  Error WithRetryAfter(Millis aSpan) const {
     Error error = *this;
     error.mRetryAfter = aSpan;
     return error;
--- a/src/include/rillwall/log.h
+++ b/src/include/rillwall/log.h
@@ -56,7 +56,7 @@
     return *this;
   }
   /// Takes lines under one key for repeats of each other, whatever they say.
-  Log& Repeat(std::string_view aKey) {
+  Log& RepeatKey(std::string_view aKey) {
     mKey = aKey;
     return *this;
   }
--- a/src/include/rillwall/millis.h
+++ b/src/include/rillwall/millis.h
@@ -67,7 +67,7 @@
 
 /// A host that stood still for so long was suspended; two readings of clocks
 /// differ by a ms or two.
-inline constexpr Millis kSuspension{100};
+inline constexpr Millis kMinSuspension{100};
 
 /// \return milliseconds since 1970 by the host's time of day, which may jump;
 /// for logs and for what must outlive a process
--- a/src/include/rillwall/policy.h
+++ b/src/include/rillwall/policy.h
@@ -99,7 +99,7 @@
 struct PolicySource {
   std::string mName;
   std::string mProgram;
-  uint64_t mChangedAt = 0;  ///< revision of the set that last changed it
+  uint64_t mChangedRevision = 0;  ///< revision of the set that last changed it
   std::string mAuthor;
   bool operator==(const PolicySource&) const = default;
 };
--- a/src/include/rillwall/rollout_record.h
+++ b/src/include/rillwall/rollout_record.h
@@ -1,7 +1,7 @@
 /// \file
 /// What the store keeps of a rollout step, in rillwall's own format.
 ///
-/// Keys of the step with identity ID (StepName()):
+/// Keys of the step with identity ID (ScopedStepId()):
 ///   rillwall/step/ID           StepRecord: who owns it, whether it has ended
 ///   rillwall/body/ID/NNN       the submission as it came, in parts
 ///   rillwall/page/ID/NNNNNNNN  results from position NNNNNNNN on
@@ -58,7 +58,7 @@
 /// \return the identity of a step: accounts do not see each other's steps, also
 /// if they choose the same name
 /// \param aAccount empty: none
-std::string StepName(const std::string& aId, const std::string& aAccount);
+std::string ScopedStepId(const std::string& aId, const std::string& aAccount);
 
 std::string StepKey(std::string_view aId);
 /// The prefix of all parts of a submission.
@@ -67,7 +67,7 @@
 /// The prefix of all pages of a step.
 std::string PagePrefix(std::string_view aId);
 std::string PageKey(std::string_view aId, int64_t aFirst);
-std::string TakenKey(std::string_view aRun);
+std::string TakeoverKey(std::string_view aRun);
 /// The prefix of all stretches of unfinished texts.
 std::string PartPrefix(std::string_view aId);
 std::string PartKey(std::string_view aId, int64_t aNumber);
--- a/src/include/rillwall/shared_view.h
+++ b/src/include/rillwall/shared_view.h
@@ -32,16 +32,16 @@
 Result<LeadHolder> DecodeLead(std::string_view aText);
 
 /// What a node asks, with what it knows already.
-struct ViewQuestion {
+struct ViewRequest {
   NodeEntry mFrom;
   std::string mRun;         ///< of the node whose replicas it knows
   ReplicaCursor mReplicas;  ///< how far it knows them
   int64_t mCrashes = 0;     ///< number up to which it knows that node's records
   uint64_t mNodes = 0;      ///< tag of the nodes that it was told
   bool mVersions = true;    ///< it owns steps and wants weight versions too
-  bool mHelp = false;       ///< the lead does not answer it
-  bool mReplicasWanted = true;  ///< else it reads the registry itself
-  bool operator==(const ViewQuestion&) const = default;
+  bool mHelpRequested = false;  ///< the lead does not answer it
+  bool mWantsReplicas = true;   ///< else it reads the registry itself
+  bool operator==(const ViewRequest&) const = default;
 };
 
 struct SharedView {
@@ -73,9 +73,9 @@
 inline constexpr char kReachPath[] = "/node/reach";
 
 /// \return path and query
-std::string EncodeQuestion(const ViewQuestion& aQuestion);
+std::string EncodeViewRequest(const ViewRequest& aQuestion);
 /// \param aField reads a field of the query
-ViewQuestion DecodeQuestion(
+ViewRequest DecodeViewRequest(
     const std::function<std::string(std::string_view)>& aField);
 std::string EncodeView(const SharedView& aView);
 Result<SharedView> DecodeView(std::string_view aText);
--- a/src/include/rillwall/usage_record.h
+++ b/src/include/rillwall/usage_record.h
@@ -29,14 +29,14 @@
 Result<UsageReport> DecodeUsageReport(std::string_view aText);
 
 /// What a host tells the lead.
-struct ToldUsage {
+struct HostUsage {
   std::string mRun;  ///< its process
   WindowCounts mCounts;
-  bool operator==(const ToldUsage&) const = default;
+  bool operator==(const HostUsage&) const = default;
 };
 
-std::string EncodeToldUsage(const ToldUsage& aTold);
-Result<ToldUsage> DecodeToldUsage(std::string_view aText);
+std::string EncodeHostUsage(const HostUsage& aTold);
+Result<HostUsage> DecodeHostUsage(std::string_view aText);
 
 /// The prefix of all reports.
 std::string UsagePrefix();
--- a/src/include/rillwall/view_exchange.h
+++ b/src/include/rillwall/view_exchange.h
@@ -153,8 +153,8 @@
   std::optional<std::string> Teller() const;
   bool Leads(const std::string& aAddress) const;
   /// \return an answer that names a subset
-  std::string SubsetText(const ViewQuestion& aQuestion, bool aNodes);
-  ReplicaDelta SubsetOf(const ViewQuestion& aQuestion) const;
+  std::string SubsetText(const ViewRequest& aQuestion, bool aNodes);
+  ReplicaDelta SubsetOf(const ViewRequest& aQuestion) const;
   /// Fills in what is the same in all answers.
   void AddCommon(SharedView& aView, int64_t aCrashes, bool aNodes) const;
   /// \return hosts that take clients; 0 while not all of them can have asked
--- a/src/librillwall_coordination/call_attempts.cpp
+++ b/src/librillwall_coordination/call_attempts.cpp
@@ -53,7 +53,7 @@
     return Error(ErrorKind::Overloaded,
                  "No replica took the request; it was not run.",
                  RunState::NotRun)
-        .After(kComeBack);
+        .WithRetryAfter(kComeBack);
   }
   if (aTimeIsUp) {
     return {ErrorKind::Timeout, "No answer came in time.", RunState::Unknown};
--- a/src/librillwall_coordination/claim_call.cpp
+++ b/src/librillwall_coordination/claim_call.cpp
@@ -255,8 +255,10 @@
   template <class Event, class Machine, class From, class To>
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
-    context.mPrepared = ClaimOutcome{
-        ClaimOutcomeKind::Refuse, {}, aEvent.mError.With(RunState::NotRun)};
+    context.mPrepared =
+        ClaimOutcome{ClaimOutcomeKind::Refuse,
+                     {},
+                     aEvent.mError.WithRunState(RunState::NotRun)};
     context.Next(ClaimAction::Remove);
   }
 };
@@ -289,8 +291,10 @@
   void operator()(const Event& aEvent, Machine& aMachine, From&, To&) const {
     Context& context = aMachine.mContext;
     context.mLeftBehind = true;
-    context.mOutcome = ClaimOutcome{
-        ClaimOutcomeKind::Refuse, {}, aEvent.mError.With(RunState::Unknown)};
+    context.mOutcome =
+        ClaimOutcome{ClaimOutcomeKind::Refuse,
+                     {},
+                     aEvent.mError.WithRunState(RunState::Unknown)};
     context.Next(ClaimAction::End);
   }
 };
--- a/src/librillwall_protocol/compression.cpp
+++ b/src/librillwall_protocol/compression.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-std::string Compressed(std::string aText) {
+std::string Compress(std::string aText) {
   if (aText.size() < kLeast) {
     return aText;
   }
@@ -53,7 +53,7 @@
   return packed;
 }
 
-Result<std::string> Decompressed(std::string_view aText, size_t aMaxBytes) {
+Result<std::string> Decompress(std::string_view aText, size_t aMaxBytes) {
   if (!aText.starts_with(kMark)) {
     return std::string(aText);
   }
--- a/src/librillwall_protocol/compression_test.cpp
+++ b/src/librillwall_protocol/compression_test.cpp
@@ -43,35 +43,35 @@
           for (int i = 0; i < aTimes % 500; ++i) {
             text += aText;
           }
-          RC_ASSERT(*Decompressed(Compressed("{" + text), kMost) == "{" + text);
+          RC_ASSERT(*Decompress(Compress("{" + text), kMost) == "{" + text);
         });
     CPPUNIT_ASSERT(held);
   }
 
   void RandomLettersShrinkToTwoThirds() {
     const std::string text = Letters(100000);
-    CPPUNIT_ASSERT(Compressed(text).size() * 3 < text.size() * 2);
+    CPPUNIT_ASSERT(Compress(text).size() * 3 < text.size() * 2);
   }
 
   void ShortTextsStayAsTheyAre() {
-    CPPUNIT_ASSERT_EQUAL(std::string("{}"), Compressed("{}"));
-    CPPUNIT_ASSERT_EQUAL(std::string("{}"), *Decompressed("{}", 1));
+    CPPUNIT_ASSERT_EQUAL(std::string("{}"), Compress("{}"));
+    CPPUNIT_ASSERT_EQUAL(std::string("{}"), *Decompress("{}", 1));
   }
 
   void BrokenTextsAreRefused() {
-    const std::string packed = Compressed(Letters(10000));
-    CPPUNIT_ASSERT(!Decompressed(packed.substr(0, 100), kMost));
-    CPPUNIT_ASSERT(!Decompressed(packed.substr(0, 4), kMost));
+    const std::string packed = Compress(Letters(10000));
+    CPPUNIT_ASSERT(!Decompress(packed.substr(0, 100), kMost));
+    CPPUNIT_ASSERT(!Decompress(packed.substr(0, 4), kMost));
     std::string spoiled = packed;
     spoiled[5] = static_cast<char>(spoiled[5] ^ 0x55);
-    const Result<std::string> text = Decompressed(spoiled, kMost);
+    const Result<std::string> text = Decompress(spoiled, kMost);
     CPPUNIT_ASSERT(!text || *text != Letters(10000));
   }
 
   void LargeTextsAreRefused() {
-    const std::string packed = Compressed(Letters(10000));
-    CPPUNIT_ASSERT(Decompressed(packed, 10000).has_value());
-    CPPUNIT_ASSERT(Decompressed(packed, 9999).error().Kind() ==
+    const std::string packed = Compress(Letters(10000));
+    CPPUNIT_ASSERT(Decompress(packed, 10000).has_value());
+    CPPUNIT_ASSERT(Decompress(packed, 9999).error().Kind() ==
                    ErrorKind::TooLarge);
   }
 };
--- a/src/librillwall_protocol/rollout_record.cpp
+++ b/src/librillwall_protocol/rollout_record.cpp
@@ -168,7 +168,7 @@
   return parts;
 }
 
-std::string StepName(const std::string& aId, const std::string& aAccount) {
+std::string ScopedStepId(const std::string& aId, const std::string& aAccount) {
   if (aAccount.empty()) {
     return aId;
   }
@@ -203,7 +203,7 @@
   return PagePrefix(aId) + Padded(aFirst, kDigits);
 }
 
-std::string TakenKey(std::string_view aRun) {
+std::string TakeoverKey(std::string_view aRun) {
   return "rillwall/taken/" + std::string(aRun);
 }
 
--- a/src/librillwall_protocol/shared_view.cpp
+++ b/src/librillwall_protocol/shared_view.cpp
@@ -128,7 +128,7 @@
   return holder;
 }
 
-std::string EncodeQuestion(const ViewQuestion& aQuestion) {
+std::string EncodeViewRequest(const ViewRequest& aQuestion) {
   return std::string(kViewPath) + "?from=" + aQuestion.mFrom.mAddress +
          "&clients=" + (aQuestion.mFrom.mTakesClients ? "1" : "0") +
          "&run=" + aQuestion.mRun +
@@ -137,23 +137,23 @@
          "&crashes=" + std::to_string(aQuestion.mCrashes) +
          "&nodes=" + std::to_string(aQuestion.mNodes) +
          "&versions=" + (aQuestion.mVersions ? "1" : "0") +
-         "&help=" + (aQuestion.mHelp ? "1" : "0") +
+         "&help=" + (aQuestion.mHelpRequested ? "1" : "0") +
          "&zone=" + aQuestion.mFrom.mZone +
-         "&replicas_wanted=" + (aQuestion.mReplicasWanted ? "1" : "0");
+         "&replicas_wanted=" + (aQuestion.mWantsReplicas ? "1" : "0");
 }
 
-ViewQuestion DecodeQuestion(
+ViewRequest DecodeViewRequest(
     const std::function<std::string(std::string_view)>& aField) {
-  ViewQuestion question;
+  ViewRequest question;
   question.mFrom = {aField("from"), aField("clients") == "1", aField("zone")};
-  question.mReplicasWanted = aField("replicas_wanted") != "0";
+  question.mWantsReplicas = aField("replicas_wanted") != "0";
   question.mRun = aField("run");
   question.mReplicas = {ParseNumber(aField("replicas")).value_or(0),
                         Unsigned(aField("digest"))};
   question.mCrashes = ParseNumber(aField("crashes")).value_or(0);
   question.mNodes = Unsigned(aField("nodes"));
   question.mVersions = aField("versions") != "0";
-  question.mHelp = aField("help") == "1";
+  question.mHelpRequested = aField("help") == "1";
   return question;
 }
 
--- a/src/librillwall_protocol/shared_view_test.cpp
+++ b/src/librillwall_protocol/shared_view_test.cpp
@@ -63,23 +63,23 @@
   }
 
   void QuestionComesBack() {
-    const ViewQuestion question{{"10.0.0.2:1", true},
-                                "r-1",
-                                {5, ~uint64_t{0}},
-                                4,
-                                ~uint64_t{0},
-                                false,
-                                true};
-    const std::string target = EncodeQuestion(question);
+    const ViewRequest question{{"10.0.0.2:1", true},
+                               "r-1",
+                               {5, ~uint64_t{0}},
+                               4,
+                               ~uint64_t{0},
+                               false,
+                               true};
+    const std::string target = EncodeViewRequest(question);
     CPPUNIT_ASSERT(target.starts_with(std::string(kViewPath) + "?"));
     const auto field = [&](std::string_view aName) {
       const size_t at = target.find(std::string(aName) + "=", target.find('?'));
       const size_t begin = at + aName.size() + 1;
       return target.substr(begin, target.find('&', begin) - begin);
     };
-    CPPUNIT_ASSERT(question == DecodeQuestion(field));
+    CPPUNIT_ASSERT(question == DecodeViewRequest(field));
     const auto none = [](std::string_view) { return std::string(); };
-    CPPUNIT_ASSERT(ViewQuestion() == DecodeQuestion(none));
+    CPPUNIT_ASSERT(ViewRequest() == DecodeViewRequest(none));
   }
 
   void LeadComesBack() {
--- a/src/librillwall_protocol/usage_record.cpp
+++ b/src/librillwall_protocol/usage_record.cpp
@@ -61,7 +61,7 @@
   return report;
 }
 
-std::string EncodeToldUsage(const ToldUsage& aTold) {
+std::string EncodeHostUsage(const HostUsage& aTold) {
   json::array windows;
   for (const auto& [window, counts] : aTold.mCounts) {
     windows.push_back(ToJson(window, counts));
@@ -72,13 +72,13 @@
   return json::serialize(object);
 }
 
-Result<ToldUsage> DecodeToldUsage(std::string_view aText) {
+Result<HostUsage> DecodeHostUsage(std::string_view aText) {
   const Result<json::object> object = ParseJsonObject(aText);
   if (!object) {
     return object.error();
   }
   JsonReader reader(*object, "told usage");
-  ToldUsage told;
+  HostUsage told;
   told.mRun = reader.String("run");
   for (UsageReport& each : ReadArray(reader, "windows", ReportFrom)) {
     told.mCounts[each.mWindow] = std::move(each.mCounts);
--- a/src/librillwall_rollout/admission.cpp
+++ b/src/librillwall_rollout/admission.cpp
@@ -45,7 +45,7 @@
     return Error(ErrorKind::Unavailable,
                  "This host does not know the API key, and its configuration "
                  "may be out of date.")
-        .After(kComeBack);
+        .WithRetryAfter(kComeBack);
   }
   return Error(ErrorKind::Unauthorized,
                "No client account has this API key; it may have been revoked.");
--- a/src/librillwall_rollout/crash_guard.cpp
+++ b/src/librillwall_rollout/crash_guard.cpp
@@ -50,7 +50,7 @@
                "another; it is not run again for now (" +
                    aRequest.Text() + ").",
                RunState::NotRun)
-      .After(left);
+      .WithRetryAfter(left);
 }
 
 std::string DescribeRequest(const RequestParts& aParts) {
--- a/src/librillwall_rollout/rollout_recovery.cpp
+++ b/src/librillwall_rollout/rollout_recovery.cpp
@@ -54,7 +54,7 @@
 }
 
 asio::awaitable<void> RolloutService::SweepTaken(int64_t aOldestMs) {
-  const Result<StoreList> all = co_await ListAll(mNode.mStore, TakenKey(""));
+  const Result<StoreList> all = co_await ListAll(mNode.mStore, TakeoverKey(""));
   if (!all) {
     Event("sweep-failed").Text("why", all.error().Detail()).Write();
     co_return;
@@ -248,7 +248,7 @@
   change.mPuts.push_back({StepKey(aId), EncodeStepRecord(aRecord), 0});
   // Tells the owner before, if it still lives, that it owns less.
   change.mPuts.push_back(
-      {TakenKey(takenFrom), std::to_string(WallClockMs()), 0});
+      {TakeoverKey(takenFrom), std::to_string(WallClockMs()), 0});
   const Result<StoreCommit> done =
       co_await mNode.mStore.Commit(std::move(change));
   if (!done) {
--- a/src/librillwall_rollout/rollout_service.cpp
+++ b/src/librillwall_rollout/rollout_service.cpp
@@ -267,7 +267,7 @@
   const Result<StoreCommit> done =
       co_await mNode.mStore.Commit(std::move(change));
   if (!done) {
-    co_return done.error().With(RunState::Unknown);
+    co_return done.error().WithRunState(RunState::Unknown);
   }
   const StoreItem* current =
       done->mApplied ? nullptr : done->Find(StepKey(aId));
--- a/src/librillwall_rollout/rollout_service_test.cpp
+++ b/src/librillwall_rollout/rollout_service_test.cpp
@@ -379,7 +379,7 @@
     mEngine.mOtherwise.mEventTime = Millis(20000);
     Accept();
     Steal();
-    mWorld.mStore.Write(TakenKey("n1-run"), "0");
+    mWorld.mStore.Write(TakeoverKey("n1-run"), "0");
     Test().RunUntil([&] { return !Service().Owns("s1"); });
   }
 
@@ -410,7 +410,8 @@
     Accept();
     Restart("n1-again");
     CPPUNIT_ASSERT(Place() == RolloutLocation::Kind::Local);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, mWorld.mStore.CountOf(TakenKey("n1-run")));
+    CPPUNIT_ASSERT_EQUAL(size_t{1},
+                         mWorld.mStore.CountOf(TakeoverKey("n1-run")));
   }
 
   void UnsureOwnerDoesNotAnswer() {
--- a/src/librillwall_rollout/rollout_verify.cpp
+++ b/src/librillwall_rollout/rollout_verify.cpp
@@ -60,7 +60,7 @@
   const Millis asked = mNode.Now();
   const std::vector<StepPtr> steps = RunningSteps();
   const Result<std::optional<StoreItem>> taken =
-      co_await mNode.mStore.Get(TakenKey(mNode.mIdentity.mRun));
+      co_await mNode.mStore.Get(TakeoverKey(mNode.mIdentity.mRun));
   if (!taken) {
     co_return taken.error();
   }
--- a/src/librillwall_rollout/upstream_call_test.cpp
+++ b/src/librillwall_rollout/upstream_call_test.cpp
@@ -317,7 +317,8 @@
     const Error unknown(ErrorKind::Overloaded, "x", RunState::Unknown);
     CPPUNIT_ASSERT_EQUAL(502, ErrorAnswer(unknown).mStatus);
     const Error refused(ErrorKind::Overloaded, "x", RunState::NotRun);
-    const HttpResponse answer = ErrorAnswer(refused.After(Millis(250)));
+    const HttpResponse answer =
+        ErrorAnswer(refused.WithRetryAfter(Millis(250)));
     CPPUNIT_ASSERT_EQUAL(503, answer.mStatus);
     CPPUNIT_ASSERT_EQUAL(std::string("0.250"), *answer.Find("Retry-After"));
   }
--- a/src/librillwall_rollout/usage_reporter.cpp
+++ b/src/librillwall_rollout/usage_reporter.cpp
@@ -41,7 +41,7 @@
   if (aText.empty()) {
     return;
   }
-  const Result<ToldUsage> told = DecodeToldUsage(aText);
+  const Result<HostUsage> told = DecodeHostUsage(aText);
   if (!told) {
     Event("usage-unread").Text("why", told.error().Detail()).Write();
     return;
--- a/src/librillwall_rollout/usage_reporter_test.cpp
+++ b/src/librillwall_rollout/usage_reporter_test.cpp
@@ -55,7 +55,7 @@
     Launch(mTest.mIo, "usage", mDuty.Run());
   }
   void Tell(const std::string& aRun, const WindowCounts& aCounts) {
-    mDuty.Take(kEntry, EncodeToldUsage({aRun, aCounts}));
+    mDuty.Take(kEntry, EncodeHostUsage({aRun, aCounts}));
   }
 
   TestNode mTest;
--- a/src/librillwall_rollout/view_exchange.cpp
+++ b/src/librillwall_rollout/view_exchange.cpp
@@ -132,7 +132,7 @@
 
 HttpResponse ViewExchange::Answer(const HttpRequest& aRequest) {
   const Millis now = mNode.Now();
-  const ViewQuestion question = DecodeQuestion(
+  const ViewRequest question = DecodeViewRequest(
       [&](std::string_view aName) { return aRequest.Query(aName); });
   if (!question.mFrom.mAddress.empty()) {
     mNodes.RecordContact(question.mFrom, now);
@@ -141,7 +141,7 @@
   if (leads) {
     mOnUsage(question.mFrom, aRequest.mBody);
   }
-  if (question.mHelp && !mLead.Held()) {
+  if (question.mHelpRequested && !mLead.Held()) {
     const bool begins = !Helping();
     mHelpAskedAt = now;
     if (begins && mOnHelpRequested) {
@@ -176,7 +176,7 @@
 
 HttpResponse ViewExchange::HandleConfigRequest() {
   if (mPackedConfig.empty()) {
-    mPackedConfig = Compressed(mConfig.mText);
+    mPackedConfig = Compress(mConfig.mText);
   }
   HttpResponse response;
   response.mStatus = mConfig.mRevision == 0 ? kUnavailable : kOk;
@@ -331,10 +331,10 @@
 HttpRequest ViewExchange::QuestionTo(ViewSource aSource,
                                      const std::string& aAddress) {
   const NodeIdentity& self = mNode.mIdentity;
-  ViewQuestion question;
+  ViewRequest question;
   question.mFrom = {self.mAddress, self.mTakesClients, self.mZone};
   question.mVersions = !self.mTakesClients || mOwnsSteps();
-  question.mHelp = aSource == ViewSource::Helper || !Leads(aAddress);
+  question.mHelpRequested = aSource == ViewSource::Helper || !Leads(aAddress);
   question.mNodes = mNodes.Tag();
   if (question.mVersions == mMirrorVersions) {
     question.mRun = mMirror.Run();
@@ -343,13 +343,13 @@
   const bool sameRun = question.mRun == mCrashesRun;
   question.mCrashes = sameRun ? mCrashesNumber : 0;
   HttpRequest request;
-  request.mTarget = EncodeQuestion(question);
+  request.mTarget = EncodeViewRequest(question);
   if (aSource == ViewSource::Lead && Leads(aAddress)) {
-    ToldUsage told{self.mRun,
+    HostUsage told{self.mRun,
                    mNode.mUsage.UnreportedCounts(mLead.Known()->mRun)};
     if (!told.mCounts.empty()) {
       request.mMethod = "POST";
-      request.mBody = EncodeToldUsage(told);
+      request.mBody = EncodeHostUsage(told);
     }
   }
   return request;
@@ -455,7 +455,7 @@
   if (!number) {
     co_return std::nullopt;
   }
-  Result<std::string> text = Decompressed(answer->mBody, kMaxConfigBytes);
+  Result<std::string> text = Decompress(answer->mBody, kMaxConfigBytes);
   if (!text) {
     Event("config-unfetched")
         .Text("node", aFrom.Text())
--- a/src/librillwall_rollout/view_exchange_test.cpp
+++ b/src/librillwall_rollout/view_exchange_test.cpp
@@ -116,9 +116,9 @@
       return node ? mTest.Run(mView.Ask(*source)) : std::nullopt;
     }
     /// \return the body of the answer to a question of another node
-    std::string Answered(const ViewQuestion& aQuestion) {
+    std::string Answered(const ViewRequest& aQuestion) {
       HttpRequest request;
-      request.mTarget = EncodeQuestion(aQuestion);
+      request.mTarget = EncodeViewRequest(aQuestion);
       return mView.Answer(request).mBody;
     }
     LeadHolder Holder() const {
@@ -282,10 +282,10 @@
     CPPUNIT_ASSERT(teller.mNodes.Knows("10.0.0.7:1"));
     // Whom it hears itself it goes on knowing.
     CPPUNIT_ASSERT(teller.mNodes.Knows(mEntry.Entry().mAddress));
-    ViewQuestion question;
+    ViewRequest question;
     question.mFrom = teller.Entry();
     question.mVersions = false;
-    question.mReplicasWanted = false;
+    question.mWantsReplicas = false;
     const std::string answer = mGiver.Answered(question);
     CPPUNIT_ASSERT(DecodeView(answer)->mReplicas.mChanged.empty());
     CPPUNIT_ASSERT_MESSAGE(answer, answer.size() < 600);
@@ -322,7 +322,7 @@
   }
 
   void HostsAreCountedOnceAllCanHaveAsked() {
-    ViewQuestion question;
+    ViewRequest question;
     question.mFrom = mEntry.Entry();
     const auto told = [&] {
       return DecodeView(mGiver.Answered(question))->mHosts;
@@ -389,7 +389,7 @@
     mEntry.Ask();
     CPPUNIT_ASSERT_EQUAL(number, told.Number());
     // What is known is not told again to one who says so.
-    ViewQuestion question;
+    ViewRequest question;
     question.mRun = "giver-run";
     question.mCrashes = mGiver.mTest.mNode.mCrashes.Number();
     CPPUNIT_ASSERT(DecodeView(mGiver.Answered(question))->mCrashes.empty());
@@ -585,7 +585,7 @@
       replicas.back().mModels = {{"m0", 3}, {"m1", 4}, {"m2", 5}};
     }
     mGiver.mView.Listed(replicas, mGiver.Now());
-    ViewQuestion question;
+    ViewRequest question;
     question.mVersions = false;
     for (size_t i = 0; i < kNodes; ++i) {
       question.mFrom = {"10.0.0.1:" + std::to_string(i), i % 10 != 0};
@@ -673,8 +673,8 @@
     CPPUNIT_ASSERT(mEntry.Ask().has_value());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, told.size());
     CPPUNIT_ASSERT(mEntry.mTest.mNode.mUsage.AllReported());
-    const ToldUsage expected{"entry-run", {{100, {{"a", 1}}}}};
-    CPPUNIT_ASSERT(expected == *DecodeToldUsage(told.front()));
+    const HostUsage expected{"entry-run", {{100, {{"a", 1}}}}};
+    CPPUNIT_ASSERT(expected == *DecodeHostUsage(told.front()));
   }
 
   /// As right after the lead has changed hands.
--- a/src/librillwall_rollout/view_subset.cpp
+++ b/src/librillwall_rollout/view_subset.cpp
@@ -45,12 +45,12 @@
   return mLead.Held() || Helping() || (candidate && Large());
 }
 
-ReplicaDelta ViewExchange::SubsetOf(const ViewQuestion& aQuestion) const {
+ReplicaDelta ViewExchange::SubsetOf(const ViewRequest& aQuestion) const {
   ReplicaDelta delta;
   delta.mNumber = static_cast<int64_t>(mTable->Changes());
   delta.mDigest = aQuestion.mReplicas.mDigest;
   const bool sameRun = aQuestion.mRun == mNode.mIdentity.mRun;
-  if (!aQuestion.mReplicasWanted ||
+  if (!aQuestion.mWantsReplicas ||
       (sameRun && aQuestion.mReplicas.mNumber == delta.mNumber)) {
     return delta;
   }
@@ -71,7 +71,7 @@
   return delta;
 }
 
-std::string ViewExchange::SubsetText(const ViewQuestion& aQuestion,
+std::string ViewExchange::SubsetText(const ViewRequest& aQuestion,
                                      bool aNodes) {
   SharedView view;
   view.mRun = mNode.mIdentity.mRun;
@@ -117,12 +117,12 @@
   if (!endpoint) {
     co_return;
   }
-  ViewQuestion question;
+  ViewRequest question;
   question.mFrom = {self.mAddress, self.mTakesClients, self.mZone};
   question.mVersions = false;
-  question.mReplicasWanted = false;
+  question.mWantsReplicas = false;
   HttpRequest request;
-  request.mTarget = EncodeQuestion(question);
+  request.mTarget = EncodeViewRequest(question);
   const Result<HttpResponse> answer =
       co_await mNode.mClient.Send(*endpoint, std::move(request), mPlan.Limit());
   const Result<SharedView> view =
--- a/src/librillwall_state/log_test.cpp
+++ b/src/librillwall_state/log_test.cpp
@@ -85,8 +85,8 @@
     Log(Part::Gossip).Debug("Not shown.");
     Log(Part::Gossip).Info("Node a is dead.");
     Log(Part::Gossip).Info("Node a is dead.");
-    Log(Part::Kv).Repeat("down").Warn("Down for 1 s.");
-    Log(Part::Kv).Repeat("down").Warn("Down for 2 s.");
+    Log(Part::Kv).RepeatKey("down").Warn("Down for 1 s.");
+    Log(Part::Kv).RepeatKey("down").Warn("Down for 2 s.");
     Log(Part::Http).Request("r-1").Error("Refused.");
     root.removeAllAppenders();
     const std::vector<std::string> wanted = {
--- a/src/librillwall_state/policy.cpp
+++ b/src/librillwall_state/policy.cpp
@@ -52,7 +52,7 @@
                            const LuaLimits& aLimits) {
   std::stable_sort(aSources.begin(), aSources.end(),
                    [](const PolicySource& aLeft, const PolicySource& aRight) {
-                     return aLeft.mChangedAt < aRight.mChangedAt;
+                     return aLeft.mChangedRevision < aRight.mChangedRevision;
                    });
   std::vector<PolicyProgram> programs;
   for (const PolicySource& source : aSources) {
@@ -79,7 +79,7 @@
 
 json::value ToJson(const PolicySource& aSource) {
   return {{"name", aSource.mName},
-          {"changed_at", aSource.mChangedAt},
+          {"changed_at", aSource.mChangedRevision},
           {"author", aSource.mAuthor},
           {"program", aSource.mProgram}};
 }
@@ -114,7 +114,7 @@
   PolicySource source;
   source.mName = *name;
   source.mProgram = *program;
-  source.mChangedAt = *changed;
+  source.mChangedRevision = *changed;
   source.mAuthor = *author;
   return source;
 }
@@ -180,7 +180,7 @@
     return own.error();
   }
   const uint64_t next = mRevision + 1;
-  aSource.mChangedAt = next;
+  aSource.mChangedRevision = next;
   std::vector<PolicySource> sources = mSources;
   std::erase_if(sources, [&](const PolicySource& aOther) {
     return aOther.mName == aSource.mName;
--- a/src/librillwall_state/policy_test.cpp
+++ b/src/librillwall_state/policy_test.cpp
@@ -168,8 +168,8 @@
     const PolicySet third =
         *second.With(Source("a", "house{ name='x', share=5 }"));
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, third.Revision());
-    CPPUNIT_ASSERT_EQUAL(uint64_t{3}, third.Find("a")->mChangedAt);
-    CPPUNIT_ASSERT_EQUAL(uint64_t{2}, third.Find("b")->mChangedAt);
+    CPPUNIT_ASSERT_EQUAL(uint64_t{3}, third.Find("a")->mChangedRevision);
+    CPPUNIT_ASSERT_EQUAL(uint64_t{2}, third.Find("b")->mChangedRevision);
     CPPUNIT_ASSERT_EQUAL(int64_t{5}, third.Rules().House("x")->mShare);
     CPPUNIT_ASSERT_EQUAL(int64_t{1}, second.Rules().House("x")->mShare);
     const PolicySet fourth = *third.Without("a");
--- a/src/librillwall_transport/http_client.cpp
+++ b/src/librillwall_transport/http_client.cpp
@@ -131,7 +131,7 @@
       found->second.pop_back();
     }
     const Millis suspended = mSuspendedFor() - connection->mSuspendedBefore;
-    if (suspended < kSuspension && !connection->mSocket.Stale()) {
+    if (suspended < kMinSuspension && !connection->mSocket.Stale()) {
       return connection;
     }
   }
--- a/src/librillwall_transport/kv_client.cpp
+++ b/src/librillwall_transport/kv_client.cpp
@@ -135,7 +135,7 @@
   }
   Result<Value> value = aRead(answer->mBody);
   if (!value) {
-    const Error lost = value.error().With(RunState::Unknown);
+    const Error lost = value.error().WithRunState(RunState::Unknown);
     co_return Rotate(used, LossOf(aKind, lost));
   }
   co_return value;
--- a/src/librillwall_transport/peer_library.cpp
+++ b/src/librillwall_transport/peer_library.cpp
@@ -22,7 +22,7 @@
 void LogLine(gpr_log_func_args* aLine) {
   const std::string_view text(aLine->message);
   Log(Part::Peer)
-      .Repeat("grpc")
+      .RepeatKey("grpc")
       .Warn("gRPC says: " + std::string(text.substr(0, kMaxLogBytes)));
 }
 
--- a/src/rillwall/admin_api.cpp
+++ b/src/rillwall/admin_api.cpp
@@ -35,7 +35,7 @@
 json::object EncodePolicy(const PolicySource& aSource) {
   json::object policy;
   policy["name"] = aSource.mName;
-  policy["changed_at"] = aSource.mChangedAt;
+  policy["changed_at"] = aSource.mChangedRevision;
   policy["author"] = aSource.mAuthor;
   policy["program"] = aSource.mProgram;
   return policy;
--- a/src/rillwall/model_calls.cpp
+++ b/src/rillwall/model_calls.cpp
@@ -104,7 +104,7 @@
     if (decision.mAction == CallAction::Refuse) {
       co_return Error(decision.mReason, "No engine could take the call now.",
                       running.mRan)
-          .After(decision.mRetryAfter);
+          .WithRetryAfter(decision.mRetryAfter);
     }
     running.mPreempted = std::make_shared<std::atomic<bool>>(false);
     const CallOutcome outcome =
--- a/src/rillwall/serve.cpp
+++ b/src/rillwall/serve.cpp
@@ -134,7 +134,7 @@
   if (!mNode.TakesWork()) {
     co_return ErrorResponse(Error(ErrorKind::Unavailable,
                                   "This node has no confirmed policies yet.")
-                                .After(kNotReadyRetry));
+                                .WithRetryAfter(kNotReadyRetry));
   }
   if (first == "v1" && aParts.size() > 2 && aParts[1] == "trainers") {
     aParts.erase(aParts.begin(), aParts.begin() + 2);
--- a/src/rillwall/service_api.cpp
+++ b/src/rillwall/service_api.cpp
@@ -98,9 +98,9 @@
     if (!again) {
       const RunState doubt = sentBefore ? RunState::Unknown : RunState::NotRun;
       const RunState ran = good ? RunState::Run : doubt;
-      HttpResponse answer = response
-                                ? RelayedResponse(std::move(*response))
-                                : ErrorResponse(response.error().With(ran));
+      HttpResponse answer =
+          response ? RelayedResponse(std::move(*response))
+                   : ErrorResponse(response.error().WithRunState(ran));
       Mark(answer, ran, aCall.mRequestId);
       co_return answer;
     }
--- a/src/rillwall/service_call.cpp
+++ b/src/rillwall/service_call.cpp
@@ -39,7 +39,7 @@
     co_return Error(
         ErrorKind::Unavailable,
         "No upstream of the service '" + aCall.mService + "' takes calls now.")
-        .After(kNoUpstreamRetry);
+        .WithRetryAfter(kNoUpstreamRetry);
   }
   UpstreamUse use(upstream->mLoad);
   Result<HttpResponse> response = co_await aNode.Http().Send(
--- a/src/rillwall/trainer_api.cpp
+++ b/src/rillwall/trainer_api.cpp
@@ -203,7 +203,7 @@
     if (mNode.Now() + kOwnerPause >= aEnd) {
       co_return Error(ErrorKind::Unavailable,
                       "The step's owner does not answer.")
-          .After(kRetryAfter);
+          .WithRetryAfter(kRetryAfter);
     }
     co_await Node::Sleep(kOwnerPause);
   }
