--- a/src/librillwall_protocol/boost_json.cpp
+++ b/src/librillwall_protocol/boost_json.cpp
@@ -1,4 +1,4 @@
 /// \file
-/// Compiles Boost.JSON, once for the whole program.
+/// Compiles the Boost.JSON sources, so that other files only include headers.
 
 #include <boost/json/src.hpp>
--- a/src/librillwall_protocol/upstream_codec.cpp
+++ b/src/librillwall_protocol/upstream_codec.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// What an upstream says wrongly is the upstream's failure, not the caller's.
-Error Malformed(const char* aWhat, const Error& aWhy) {
+// A malformed message is an error of the upstream, not of the caller.
+Error Malformed(const char* aWhat, const Error& aCause) {
   return Error(ErrorKind::UpstreamFailed,
-               std::string(aWhat) + " cannot be read: " + aWhy.Detail(),
+               std::string(aWhat) + " cannot be read: " + aCause.Detail(),
                RunState::Run);
 }
 
@@ -93,7 +93,9 @@
   const bool hasChoice =
       choices != nullptr && !choices->empty() && choices->front().is_object();
   if (!hasChoice || chunk.mVersion < 0 || chunk.mTokens < 0) {
-    reader.Fail("choices", "must hold an object, with version and tokens");
+    reader.Fail(
+        "choices",
+        "must contain an object; version and tokens must not be negative");
   }
   if (reader.Failed()) {
     return Malformed("An engine's chunk", reader.Failure());
--- a/src/librillwall_rollout/relay.cpp
+++ b/src/librillwall_rollout/relay.cpp
@@ -90,7 +90,7 @@
     Result<std::string> part = co_await aRest->Read(kStreamIdleTimeout);
     if (!part) {
       Event("stream-cut").Id(aId).Text("why", part.error().Detail()).Write();
-      aExchange.Cut();
+      aExchange.Abort();
       co_return;
     }
     if (part->empty()) {
@@ -100,7 +100,7 @@
     const std::error_code failed = co_await aExchange.Write(std::move(*part));
     if (failed) {
       Event("stream-left").Id(aId).Text("why", failed.message()).Write();
-      aExchange.Cut();
+      aExchange.Abort();
       co_return;
     }
   }
@@ -118,7 +118,7 @@
   const std::error_code failed =
       co_await aExchange.Begin(std::move(aResponse.mHead));
   if (failed) {
-    aExchange.Cut();
+    aExchange.Abort();
     co_return;
   }
   if (!firstPart.empty()) {
@@ -242,18 +242,18 @@
       .Write();
   asio::steady_timer peerGone(aNode.mIo);
   peerGone.expires_at(asio::steady_timer::time_point::max());
-  aExchange.OnPeerGone([&peerGone] { peerGone.cancel(); });
-  if (aExchange.PeerGone()) {
+  aExchange.OnPeerDisconnected([&peerGone] { peerGone.cancel(); });
+  if (aExchange.PeerDisconnected()) {
     peerGone.cancel();
   }
   const auto ended = co_await (
       CallAndRespond(aNode, std::move(call), aRoute, started, aExchange) ||
       peerGone.async_wait(asio::as_tuple(asio::use_awaitable)));
-  aExchange.OnPeerGone(nullptr);
+  aExchange.OnPeerDisconnected(nullptr);
   if (ended.index() == 1) {
     Event("client-left").Id(*id).Write();
     aNode.mMetrics.Count("clients_left_total");
-    aExchange.Cut();
+    aExchange.Abort();
   }
 }
 
--- a/src/librillwall_state/boost_json.cpp
+++ b/src/librillwall_state/boost_json.cpp
@@ -1,4 +1,4 @@
 /// \file
-/// The one place where Boost.JSON is compiled; all others include its headers.
+/// Compiles the Boost.JSON sources, so that other files only include headers.
 
 #include <boost/json/src.hpp>
