--- a/src/include/rillwall/settings.h
+++ b/src/include/rillwall/settings.h
@@ -1,11 +1,11 @@
 /// \file
-/// A node's settings: flags and environment variables, from one table.
+/// Settings of a node, read from command-line flags and environment variables.
 ///
-/// Each row of the table gives a setting's flag, environment variable, unit,
-/// default, check and help; the command line's options, --help and
-/// docs/SETTINGS.md are made from it. A flag goes before its variable. All
-/// settings are checked when the process starts, and all that is wrong is told
-/// at once.
+/// One table defines the flag, environment variable, unit, default, check and
+/// help text of each setting. The command-line options, --help and
+/// docs/SETTINGS.md are generated from this table. A flag overrides its
+/// environment variable. All settings are checked when the process starts, and
+/// all errors are reported together.
 
 #pragma once
 
@@ -25,34 +25,35 @@
 
 namespace rillwall {
 
-/// What a node is told at its start. Immutable from then on.
+/// Settings of one node. They do not change after the start.
 struct NodeSettings {
-  std::string mNodeId;  ///< unique in the fleet; by default the rpc address
+  std::string mNodeId;  ///< unique in the fleet; default: AdvertisedRpc()
   std::string mZone;    ///< availability zone
 
-  Endpoint mHttp{"0.0.0.0", 8080};    ///< listens for callers and operators
-  Endpoint mRpc{"0.0.0.0", 8081};     ///< listens for calls of other nodes
-  Endpoint mGossip{"0.0.0.0", 8081};  ///< listens for datagrams
-  /// Where others reach this node, if not where it listens.
+  Endpoint mHttp{"0.0.0.0", 8080};  ///< listen address of the HTTP API
+  Endpoint mRpc{"0.0.0.0", 8081};  ///< listen address for RPCs from other nodes
+  Endpoint mGossip{"0.0.0.0", 8081};  ///< listen address for gossip datagrams
+  /// Addresses under which others reach this node, where they differ from the
+  /// listen addresses.
   std::optional<Endpoint> mAdvertiseHttp;
   std::optional<Endpoint> mAdvertiseRpc;
   std::optional<Endpoint> mAdvertiseGossip;
 
-  std::vector<Endpoint> mSeeds;  ///< gossip addresses to join through
-  std::vector<Endpoint> mKv;     ///< the key-value service
-  Endpoint mHostList;            ///< the platform's list of hosts
-  std::string mDataFolder;       ///< for bulk data; empty: none
+  std::vector<Endpoint> mSeeds;  ///< gossip addresses for joining the fleet
+  std::vector<Endpoint> mKv;     ///< endpoints of the key-value service
+  Endpoint mHostList;       ///< endpoint that serves the platform's host list
+  std::string mDataFolder;  ///< folder for bulk data; empty: none
 
-  int64_t mThreads = 2;
+  int64_t mThreads = 2;  ///< threads that serve requests
   LogOptions mLog;
 
-  std::string mFleetKeyFile;  ///< shared access key of the fleet; empty: none
+  std::string mFleetKeyFile;  ///< file with the fleet's shared key; empty: none
   std::string mTlsCertFile;   ///< PEM; empty: no TLS
-  std::string mTlsKeyFile;
-  std::string mTlsCaFile;
+  std::string mTlsKeyFile;    ///< PEM, private key of the certificate
+  std::string mTlsCaFile;     ///< PEM, authority of the fleet's certificates
 
-  int64_t mAperture = 16;       ///< upstreams of each kind polled by the node
-  int64_t mDrainSeconds = 120;  ///< longest wait for calls in flight
+  int64_t mAperture = 16;       ///< approximate number of engines polled
+  int64_t mDrainSeconds = 120;  ///< maximum wait for requests in flight
 
   Endpoint AdvertisedHttp() const { return mAdvertiseHttp.value_or(mHttp); }
   Endpoint AdvertisedRpc() const { return mAdvertiseRpc.value_or(mRpc); }
@@ -62,17 +63,18 @@
   bool operator==(const NodeSettings&) const = default;
 };
 
-/// Takes the settings from a command line and the environment.
+/// Reads the settings from a command line and the environment.
 class SettingsReader {
  public:
   SettingsReader();
   ~SettingsReader();
-  /// Adds an option per setting.
-  /// \param aApp must not be parsed after this object's end
+  /// Adds one option for each setting.
+  /// \param aApp must not be parsed after this object has been destroyed
   void AddTo(CLI::App& aApp);
-  /// Checks all settings together. Call after the application was parsed.
-  /// \return the settings, or BadRequest with one line for each thing wrong:
-  /// the setting, the cause and the remedy
+  /// Checks all settings, each alone and in combination. Call after the command
+  /// line has been parsed.
+  /// \return the settings, or BadRequest with one line for each error that
+  /// names the setting, the cause and the remedy
   Result<NodeSettings> Read() const;
 
  private:
@@ -80,7 +82,7 @@
   std::unique_ptr<Impl> mImpl;
 };
 
-/// \return the page docs/SETTINGS.md, made from the table
+/// \return the content of docs/SETTINGS.md, generated from the table
 std::string SettingsPage();
 
 }  // namespace rillwall
--- a/src/rillwall/admin_api.cpp
+++ b/src/rillwall/admin_api.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kDumpSchema = 1;
+constexpr int kDumpSchemaVersion = 1;
 
 const char* MemberStateName(MemberState aState) {
   constexpr const char* kNames[] = {"alive", "suspect", "leaving", "dead"};
@@ -41,7 +41,7 @@
   return policy;
 }
 
-// Names of things in one list that are not, or not alike, in the other.
+// Appends the rules that were added, changed or removed between two lists.
 template <class Rule>
 void Compare(const char* aKind, const std::vector<Rule>& aBefore,
              const std::vector<Rule>& aAfter, json::array& aChanges) {
@@ -124,7 +124,7 @@
     mDrain();
     co_return co_await DrainState();
   }
-  /// A page of the fleet's or this node's state.
+  /// A read-only view of the state of the fleet or this node.
   struct Page {
     const char* mName;
     Answer (AdminApi::*mShow)();
@@ -143,7 +143,7 @@
     co_return HttpResponse::Json(200, std::move(dump));
   }
   co_return Error(ErrorKind::NotFound,
-                  "There is no such path; docs/API.md lists them.");
+                  "Unknown path; docs/API.md lists the paths of the API.");
 }
 
 AdminApi::Answer AdminApi::ListPolicies() {
@@ -310,7 +310,7 @@
 
 std::string AdminApi::Dump() {
   json::object dump;
-  dump["schema"] = kDumpSchema;
+  dump["schema"] = kDumpSchemaVersion;
   dump["node"] = mNode.Settings().mNodeId;
   dump["zone"] = mNode.Settings().mZone;
   dump["phase"] = NodePhaseName(mNode.Lifecycle().Phase());
@@ -327,7 +327,7 @@
   }
   dump["groups_held"] = mRunner.Held();
   dump["groups_running"] = mRunner.Running();
-  // Parts that dump themselves give JSON text.
+  // StepOwner and Dispatcher return their dumps as JSON text.
   boost::system::error_code failed;
   dump["steps"] = json::parse(mSteps.Dump(), failed);
   dump["calls"] = json::parse(mNode.Calls().Dump(), failed);
--- a/src/rillwall/admin_api.h
+++ b/src/rillwall/admin_api.h
@@ -1,5 +1,5 @@
 /// \file
-/// The API towards operators: policies, the fleet, dumps and draining.
+/// The operators' HTTP API: policies, state of the fleet, dumps and draining.
 
 #pragma once
 
@@ -16,17 +16,20 @@
 
 namespace rillwall {
 
+/// Handles the requests under /admin. All of them need an operator's token once
+/// a policy declares tokens.
 class AdminApi {
  public:
-  /// \param aDrain begins to drain this node
+  /// \param aDrain starts draining this node
   AdminApi(Node& aNode, PolicyKeeper& aPolicies, UpstreamKeeper& aUpstreams,
            StepOwner& aSteps, GroupRunner& aRunner,
            std::function<void()> aDrain);
-  /// Answers a request whose path is /admin/...
-  /// \param aParts the path's parts after "admin"
+  /// Handles a request whose path is /admin/...
+  /// \param aParts segments of the path after "admin"
   asio::awaitable<HttpResponse> Handle(const HttpRequest& aRequest,
                                        std::vector<std::string> aParts);
-  /// \return this process's state as JSON text; on the control strand
+  /// Call on the control strand only.
+  /// \return the state of this process as JSON text
   std::string Dump();
 
  private:
--- a/src/rillwall/api_common.cpp
+++ b/src/rillwall/api_common.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr size_t kMaxRequestId = 128;
+constexpr size_t kMaxRequestIdLength = 128;
 constexpr std::string_view kBearer = "Bearer ";
 
 std::string NewRequestId() {
@@ -24,8 +24,8 @@
     return aDigit - '0';
   }
   const char lower = static_cast<char>(aDigit | 0x20);
-  constexpr int kTen = 10;
-  return lower >= 'a' && lower <= 'f' ? lower - 'a' + kTen : -1;
+  constexpr int kLetterOffset = 10;
+  return lower >= 'a' && lower <= 'f' ? lower - 'a' + kLetterOffset : -1;
 }
 
 std::string DecodePercent(std::string_view aText) {
@@ -60,11 +60,11 @@
   HttpResponse response =
       HttpResponse::Json(ErrorStatus(aError.Kind()), ErrorJson(aError));
   constexpr int64_t kMillisPerSecond = 1000;
-  constexpr int kTooMany = 429;
+  constexpr int kTooManyRequests = 429;
   constexpr int kUnavailable = 503;
-  const bool comeBack =
-      response.mStatus == kTooMany || response.mStatus == kUnavailable;
-  if (comeBack) {
+  const bool retryLater =
+      response.mStatus == kTooManyRequests || response.mStatus == kUnavailable;
+  if (retryLater) {
     const int64_t after = std::max<int64_t>(1, aError.RetryAfter().Count());
     const int64_t seconds = (after + kMillisPerSecond - 1) / kMillisPerSecond;
     response.mHeaders.push_back({"Retry-After", std::to_string(seconds)});
@@ -73,16 +73,16 @@
   return response;
 }
 
-void Mark(HttpResponse& aResponse, RunState aRun,
-          const std::string& aRequestId) {
+void AddRunHeaders(HttpResponse& aResponse, RunState aRun,
+                   const std::string& aRequestId) {
   aResponse.mHeaders.push_back({kRunHeader, RunStateName(aRun)});
   aResponse.mHeaders.push_back({kRequestHeader, aRequestId});
 }
 
 std::string RequestId(const HttpRequest& aRequest) {
   const std::string* given = aRequest.Find(kRequestHeader);
-  const bool usable =
-      given != nullptr && !given->empty() && given->size() <= kMaxRequestId;
+  const bool usable = given != nullptr && !given->empty() &&
+                      given->size() <= kMaxRequestIdLength;
   return usable ? *given : NewRequestId();
 }
 
@@ -93,7 +93,7 @@
   identity.mScope = aScope;
   if (aPolicies.Rules().mTokens.empty()) {
     identity.mName = "open";
-    identity.mOpen = true;
+    identity.mUnauthenticated = true;
     return identity;
   }
   const std::string* header = aRequest.Find("Authorization");
@@ -133,7 +133,7 @@
   if (failed != std::errc() || end != aText.data() + aText.size()) {
     return Error(ErrorKind::BadRequest,
                  "The " + std::string(aWhat) + " '" +
-                     std::string(aText.substr(0, kMaxRequestId)) +
+                     std::string(aText.substr(0, kMaxRequestIdLength)) +
                      "' is not a whole number.");
   }
   return number;
--- a/src/rillwall/api_common.h
+++ b/src/rillwall/api_common.h
@@ -1,5 +1,6 @@
 /// \file
-/// What all parts of the HTTP API share: error answers, identities, relays.
+/// Helpers shared by all parts of the HTTP API: error responses, identities,
+/// request ids and parsing.
 
 #pragma once
 
@@ -12,41 +13,48 @@
 
 namespace rillwall {
 
-/// Header that tells whether an upstream ran the request.
+/// Response header that states whether an upstream ran the request.
 inline constexpr const char* kRunHeader = "Rillwall-Run";
-/// Header that carries the request's identity over nodes and upstreams.
+/// Header that carries the request id across nodes and upstreams.
 inline constexpr const char* kRequestHeader = "Rillwall-Request";
 
-/// Who sends a request, as its token says.
+/// Sender of a request, as its token states.
 struct Identity {
-  std::string mScope;  ///< "caller", "trainer" or "operator"
-  std::string mName;   ///< house, trainer or operator
-  bool mOpen = false;  ///< no policy names a token; names are as stated
+  std::string mScope;             ///< "caller", "trainer" or "operator"
+  std::string mName;              ///< name of the house, trainer or operator
+  bool mUnauthenticated = false;  ///< no policy declares a token
 };
 
-/// \return the error as an answer with kind, message, remedy and run state
+/// \return an HTTP response with the error's kind, message, remedy and run
+/// state, and Retry-After headers for statuses 429 and 503
 HttpResponse ErrorResponse(const Error& aError);
-/// \return the error's JSON, as in ErrorResponse
+/// \return the JSON body that ErrorResponse() sends
 std::string ErrorJson(const Error& aError);
-/// Adds the run state and the request's identity.
-void Mark(HttpResponse& aResponse, RunState aRun,
-          const std::string& aRequestId);
-/// \return the identity given by the peer, or a new one
+/// Adds the headers with the run state and the request id.
+void AddRunHeaders(HttpResponse& aResponse, RunState aRun,
+                   const std::string& aRequestId);
+/// \return the request id that the sender gave, or a new one if it gave none or
+/// one that is too long
 std::string RequestId(const HttpRequest& aRequest);
 
 /// Checks a request's token against the policies in force.
 /// \param aScope the scope that the request needs
-/// \return who it is, or Unauthorized or Forbidden
+/// \return the sender, or Unauthorized or Forbidden. Without any token in the
+/// policies every request is accepted.
 Result<Identity> Identify(const PolicySet& aPolicies,
                           const HttpRequest& aRequest, std::string_view aScope);
 
-/// Reads a whole number; one out of bounds is the reader's failure.
-/// \param aDefault for when the field is missing; without it it must be there
+/// Reads an integer field. A value outside [aLeast, aMost] makes the reader
+/// fail.
+/// \param aDefault value for a missing field; if absent, the field is required
 int64_t ReadInt(JsonReader& aReader, std::string_view aName, int64_t aLeast,
                 int64_t aMost, std::optional<int64_t> aDefault);
-/// Parses a decimal number of a path, BadRequest if it is none.
+/// Parses a decimal number.
+/// \param aWhat what the number stands for, used in the error message
+/// \return the number, or BadRequest if the text is not a number
 Result<uint64_t> ParseNumber(std::string_view aText, const char* aWhat);
-/// Splits a path at its slashes, percent-decoded.
+/// Splits a path at its slashes, drops empty segments and decodes percent
+/// escapes.
 std::vector<std::string> SplitPath(std::string_view aPath);
 
 }  // namespace rillwall
--- a/src/rillwall/caller_api.cpp
+++ b/src/rillwall/caller_api.cpp
@@ -15,23 +15,23 @@
 constexpr const char* kHouseHeader = "Rillwall-House";
 constexpr const char* kDefaultHouse = "anonymous";
 
-// A chat is put to the engine as one prompt, a line a message.
+// Joins the messages of a chat into one prompt, one line per message.
 std::string ReadMessages(JsonReader& aReader) {
   const json::array* messages = aReader.Array("messages");
   if (messages == nullptr || messages->empty()) {
-    aReader.Fail("messages", "must be an array, not empty");
+    aReader.Fail("messages", "must be a non-empty array");
     return {};
   }
   std::string prompt;
   for (const json::value& entry : *messages) {
     if (!entry.is_object()) {
-      aReader.Fail("messages", "must hold objects only");
+      aReader.Fail("messages", "must contain only objects");
       return {};
     }
     JsonReader message(entry.as_object(), "messages[]");
     prompt += message.String("role") + ": " + message.String("content") + "\n";
     if (message.Failed()) {
-      aReader.Fail("messages", "must hold a role and a content each");
+      aReader.Fail("messages", "must have a role and a content in each entry");
     }
   }
   return prompt;
@@ -56,8 +56,8 @@
   return choice;
 }
 
-json::object Envelope(const std::string& aId, const std::string& aModel,
-                      bool aChat, bool aStream) {
+json::object ResponseBase(const std::string& aId, const std::string& aModel,
+                          bool aChat, bool aStream) {
   json::object body;
   body["id"] = aId;
   body["model"] = aModel;
@@ -68,7 +68,7 @@
 
 std::string EncodeChunk(const std::string& aId, const std::string& aModel,
                         bool aChat, const ModelChunk& aChunk) {
-  json::object body = Envelope(aId, aModel, aChat, true);
+  json::object body = ResponseBase(aId, aModel, aChat, true);
   body["choices"] =
       json::array{ChoiceOf(aChat, true, aChunk.mText, aChunk.mFinish)};
   body["weight_version"] = aChunk.mVersion;
@@ -78,7 +78,7 @@
 
 std::string EncodeAnswer(const std::string& aId, const std::string& aModel,
                          bool aChat, const ModelAnswer& aAnswer) {
-  json::object body = Envelope(aId, aModel, aChat, false);
+  json::object body = ResponseBase(aId, aModel, aChat, false);
   body["choices"] =
       json::array{ChoiceOf(aChat, false, aAnswer.mText, aAnswer.mFinish)};
   body["usage"] = json::object{{"completion_tokens", aAnswer.mLabel.Tokens()}};
@@ -91,9 +91,9 @@
   return json::serialize(body);
 }
 
-/// The streamed answer's state between its chunks.
+/// State of a streamed response between its chunks.
 struct StreamState {
-  bool mBegun = false;
+  bool mStarted = false;
   Millis mStart;
 };
 
@@ -102,8 +102,9 @@
 CallerApi::CallerApi(Node& aNode, ModelCalls& aCalls)
     : mNode(aNode), mCalls(aCalls) {}
 
-Result<CallerApi::Ask> CallerApi::Parse(const HttpRequest& aRequest, bool aChat,
-                                        const std::string& aRequestId) const {
+Result<CallerApi::CompletionCall> CallerApi::Parse(
+    const HttpRequest& aRequest, bool aChat,
+    const std::string& aRequestId) const {
   const auto policies = mNode.Policies().Read();
   const Result<Identity> who = Identify(*policies, aRequest, "caller");
   if (!who) {
@@ -126,116 +127,119 @@
   }
   const std::string* house = aRequest.Find(kHouseHeader);
   const std::string stated = house == nullptr ? kDefaultHouse : *house;
-  Ask ask;
-  ask.mChat = aChat;
-  ask.mId = aRequestId;
-  ask.mStream = stream;
-  CallSpec& spec = ask.mRequest.mSpec;
+  CompletionCall call;
+  call.mChat = aChat;
+  call.mId = aRequestId;
+  call.mStream = stream;
+  CallSpec& spec = call.mRequest.mSpec;
   spec.mClass = CallClass::Interactive;
-  spec.mTenant = who->mOpen ? stated : who->mName;
+  spec.mTenant = who->mUnauthenticated ? stated : who->mName;
   spec.mModel = model;
-  // The house goes into the prefix, so that no house can tell from a prefix
-  // cache hit what another one asked.
+  // The hash includes the house. Otherwise a house could find out through hits
+  // in the prefix cache what another house requested.
   spec.mPrefixHash = std::hash<std::string>()(spec.mTenant + '\n' +
                                               prompt.substr(0, kPrefixLength));
   spec.mExpectedTokens = tokens;
   spec.mDeadline = mNode.Now() + kCallDeadline;
-  EngineCompletion& completion = ask.mRequest.mCompletion;
+  EngineCompletion& completion = call.mRequest.mCompletion;
   completion.mModel = model;
   completion.mPrompt = prompt;
   completion.mMaxTokens = tokens;
   completion.mSeed = seed;
   completion.mPriority = 0;
   completion.mRequestId = aRequestId;
-  return ask;
+  return call;
 }
 
 asio::awaitable<void> CallerApi::Handle(const HttpRequest& aRequest,
                                         HttpExchange& aExchange, bool aChat,
                                         std::string aRequestId) {
   mNode.Meter().Add(Counter::RequestsInteractive);
-  Result<Ask> ask = Parse(aRequest, aChat, aRequestId);
-  if (!ask) {
-    HttpResponse response = ErrorResponse(ask.error());
-    Mark(response, RunState::NotRun, aRequestId);
+  Result<CompletionCall> call = Parse(aRequest, aChat, aRequestId);
+  if (!call) {
+    HttpResponse response = ErrorResponse(call.error());
+    AddRunHeaders(response, RunState::NotRun, aRequestId);
     co_await aExchange.Respond(std::move(response));
     co_return;
   }
-  if (ask->mStream) {
-    co_await Streamed(std::move(*ask), aExchange);
+  if (call->mStream) {
+    co_await RespondStreamed(std::move(*call), aExchange);
   } else {
-    co_await Whole(std::move(*ask), aExchange);
+    co_await RespondWhole(std::move(*call), aExchange);
   }
 }
 
-asio::awaitable<void> CallerApi::Whole(Ask aAsk, HttpExchange& aExchange) {
+asio::awaitable<void> CallerApi::RespondWhole(CompletionCall aCall,
+                                              HttpExchange& aExchange) {
   const Millis start = mNode.Now();
   const ChunkSink sink =
       [&aExchange](const ModelChunk&) -> asio::awaitable<bool> {
     co_return !aExchange.PeerGone();
   };
-  Result<ModelAnswer> answer = co_await mCalls.Run(aAsk.mRequest, sink);
+  Result<ModelAnswer> answer = co_await mCalls.Run(aCall.mRequest, sink);
   HttpResponse response;
   if (answer) {
     mNode.Meter().Add(Counter::AnswersWhole);
     mNode.Meter().Measure(Timing::FirstToken, answer->mFirstToken - start);
     response = HttpResponse::Json(
-        200, EncodeAnswer(aAsk.mId, aAsk.mRequest.mSpec.mModel, aAsk.mChat,
+        200, EncodeAnswer(aCall.mId, aCall.mRequest.mSpec.mModel, aCall.mChat,
                           *answer));
-    Mark(response, RunState::Run, aAsk.mId);
+    AddRunHeaders(response, RunState::Run, aCall.mId);
   } else {
     mNode.Meter().Add(Counter::RequestsRefused);
     response = ErrorResponse(answer.error());
-    Mark(response, answer.error().Run(), aAsk.mId);
+    AddRunHeaders(response, answer.error().Run(), aCall.mId);
   }
   co_await aExchange.Respond(std::move(response));
 }
 
-asio::awaitable<void> CallerApi::Streamed(Ask aAsk, HttpExchange& aExchange) {
+asio::awaitable<void> CallerApi::RespondStreamed(CompletionCall aCall,
+                                                 HttpExchange& aExchange) {
   StreamState state;
   state.mStart = mNode.Now();
-  const std::string model = aAsk.mRequest.mSpec.mModel;
-  // The answer begins with the first chunk, so that a call that no engine
-  // takes is refused with a proper status.
+  const std::string model = aCall.mRequest.mSpec.mModel;
+  // The response starts with the first chunk, so that a call that no engine
+  // accepts still gets an error status.
   const ChunkSink sink =
-      [this, &aAsk, &aExchange, &state,
+      [this, &aCall, &aExchange, &state,
        &model](const ModelChunk& aChunk) -> asio::awaitable<bool> {
-    if (!state.mBegun) {
-      state.mBegun = true;
+    if (!state.mStarted) {
+      state.mStarted = true;
       mNode.Meter().Measure(Timing::FirstToken, mNode.Now() - state.mStart);
       HttpResponse head;
       head.mHeaders.push_back({"Content-Type", "text/event-stream"});
       head.mHeaders.push_back({"Cache-Control", "no-store"});
-      Mark(head, RunState::Run, aAsk.mId);
+      AddRunHeaders(head, RunState::Run, aCall.mId);
       if (co_await aExchange.Begin(std::move(head))) {
         co_return false;
       }
     }
     std::string event =
-        SseData(EncodeChunk(aAsk.mId, model, aAsk.mChat, aChunk));
+        SseData(EncodeChunk(aCall.mId, model, aCall.mChat, aChunk));
     const std::error_code failed = co_await aExchange.Write(std::move(event));
     co_return !failed;
   };
-  const Result<ModelAnswer> answer = co_await mCalls.Run(aAsk.mRequest, sink);
-  if (answer && state.mBegun) {
+  const Result<ModelAnswer> answer = co_await mCalls.Run(aCall.mRequest, sink);
+  if (answer && state.mStarted) {
     mNode.Meter().Add(Counter::AnswersWhole);
     co_await aExchange.Write(SseData(kSseDone));
     co_await aExchange.End();
     co_return;
   }
-  if (state.mBegun) {
-    // No closing event and no end: the caller sees that it is not whole.
+  if (state.mStarted) {
+    // Omitting the closing event and the end of the body tells the caller that
+    // the answer is incomplete.
     mNode.Meter().Add(Counter::AnswersCut);
     co_await aExchange.Write(SseNamed("error", ErrorJson(answer.error())));
     co_return;
   }
   const Error error =
       answer ? Error(ErrorKind::UpstreamFailed,
-                     "The engine's answer was empty.", RunState::Run)
+                     "The engine returned an empty answer.", RunState::Run)
              : answer.error();
   mNode.Meter().Add(Counter::RequestsRefused);
   HttpResponse response = ErrorResponse(error);
-  Mark(response, error.Run(), aAsk.mId);
+  AddRunHeaders(response, error.Run(), aCall.mId);
   co_await aExchange.Respond(std::move(response));
 }
 
--- a/src/rillwall/caller_api.h
+++ b/src/rillwall/caller_api.h
@@ -1,5 +1,5 @@
 /// \file
-/// The API towards interactive callers: OpenAI-style completions.
+/// HTTP API for interactive callers: OpenAI-style completions.
 
 #pragma once
 
@@ -11,27 +11,31 @@
 
 namespace rillwall {
 
+/// Handles completion requests, streamed (server-sent events) or as one
+/// response.
 class CallerApi {
  public:
   CallerApi(Node& aNode, ModelCalls& aCalls);
-  /// Answers POST /v1/completions and /v1/chat/completions.
-  /// \param aChat whether it is the chat form
+  /// Handles POST /v1/completions and /v1/chat/completions.
+  /// \param aChat whether the request is a chat completion
   asio::awaitable<void> Handle(const HttpRequest& aRequest,
                                HttpExchange& aExchange, bool aChat,
                                std::string aRequestId);
 
  private:
-  /// A completion as the caller asks for it.
-  struct Ask {
+  /// A parsed completion request.
+  struct CompletionCall {
     ModelRequest mRequest;
     bool mStream = false;
     bool mChat = false;
     std::string mId;
   };
-  Result<Ask> Parse(const HttpRequest& aRequest, bool aChat,
-                    const std::string& aRequestId) const;
-  asio::awaitable<void> Streamed(Ask aAsk, HttpExchange& aExchange);
-  asio::awaitable<void> Whole(Ask aAsk, HttpExchange& aExchange);
+  Result<CompletionCall> Parse(const HttpRequest& aRequest, bool aChat,
+                               const std::string& aRequestId) const;
+  asio::awaitable<void> RespondStreamed(CompletionCall aCall,
+                                        HttpExchange& aExchange);
+  asio::awaitable<void> RespondWhole(CompletionCall aCall,
+                                     HttpExchange& aExchange);
 
   Node& mNode;
   ModelCalls& mCalls;
--- a/src/rillwall/charge_runner.cpp
+++ b/src/rillwall/charge_runner.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-// How long a key is remembered. A repeat after that would run again, so it is
-// far beyond any caller's patience; docs/API.md states it.
-constexpr int64_t kClaimSeconds = 7 * 24 * 3600;
+// Lifetime of a claim. A retry after this time would run the call again, so it
+// is much longer than any caller keeps retrying. docs/API.md documents it.
+constexpr int64_t kClaimLifetimeSeconds = 7 * 24 * 3600;
 constexpr const char* kKvPrefix = "rillwall/";
 constexpr int kSendAttempts = 3;
 
 std::string MakeNonce(const std::string& aNode) {
   std::random_device device;
   std::string nonce = aNode;
-  constexpr int kWords = 4;
-  for (int i = 0; i < kWords; ++i) {
+  constexpr int kNonceWords = 4;
+  for (int i = 0; i < kNonceWords; ++i) {
     nonce += "-" + std::to_string(device());
   }
   return nonce;
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-ChargeRunner::Running::Running(ServiceCall aCall, const ClaimKey& aKey,
-                               std::string aNonce)
+ChargeRunner::RunningCall::RunningCall(ServiceCall aCall, const ClaimKey& aKey,
+                                       std::string aNonce)
     : mCall(std::move(aCall)),
       mPath(kKvPrefix + aKey.Path()),
       mClaim(aKey,
@@ -61,54 +61,55 @@
   const std::optional<Error> badKey = CheckIdempotencyKey(aCall.mKey);
   if (badKey) {
     HttpResponse refused = ErrorResponse(*badKey);
-    Mark(refused, RunState::NotRun, aCall.mRequestId);
+    AddRunHeaders(refused, RunState::NotRun, aCall.mRequestId);
     co_return refused;
   }
   ClaimKey key;
   key.mHouse = aCall.mHouse;
   key.mService = aCall.mService;
   key.mKey = aCall.mKey;
-  auto running = std::make_shared<Running>(std::move(aCall), key,
-                                           MakeNonce(mNode.Settings().mNodeId));
-  ClaimStep step = running->mClaim.Start();
-  while (!running->mClaim.Outcome() && step.mNext != ClaimAction::End) {
-    step = co_await CarryOut(*running, step);
+  auto call = std::make_shared<RunningCall>(
+      std::move(aCall), key, MakeNonce(mNode.Settings().mNodeId));
+  ClaimStep step = call->mClaim.Start();
+  while (!call->mClaim.Outcome() && step.mNext != ClaimAction::End) {
+    step = co_await CarryOut(*call, step);
   }
   if (step.mNext != ClaimAction::End) {
-    // The caller need not wait until the outcome is on record.
-    mNode.Spawn(CarryOutRest(running, step));
+    // The caller does not wait until the outcome has been recorded.
+    mNode.Spawn(CarryOutRemaining(call, step));
   }
-  co_return Answer(*running);
+  co_return Answer(*call);
 }
 
-asio::awaitable<void> ChargeRunner::CarryOutRest(
-    std::shared_ptr<Running> aRunning, ClaimStep aStep) {
+asio::awaitable<void> ChargeRunner::CarryOutRemaining(
+    std::shared_ptr<RunningCall> aRunningCall, ClaimStep aStep) {
   while (aStep.mNext != ClaimAction::End) {
-    aStep = co_await CarryOut(*aRunning, aStep);
+    aStep = co_await CarryOut(*aRunningCall, aStep);
   }
-  if (aRunning->mClaim.LeftBehind()) {
+  if (aRunningCall->mClaim.LeftBehind()) {
     Log(Part::Service)
-        .Request(aRunning->mCall.mRequestId)
-        .Warn("A claim was left behind; its key stays blocked.");
+        .Request(aRunningCall->mCall.mRequestId)
+        .Warn(
+            "A claim could not be updated; its idempotency key stays blocked.");
   }
 }
 
-asio::awaitable<ClaimStep> ChargeRunner::CarryOut(Running& aRunning,
+asio::awaitable<ClaimStep> ChargeRunner::CarryOut(RunningCall& aRunningCall,
                                                   ClaimStep aStep) {
   if (aStep.mPause > Millis(0)) {
     co_await Node::Sleep(aStep.mPause);
   }
   switch (aStep.mNext) {
     case ClaimAction::Create:
-      co_return co_await Create(aRunning, aStep);
+      co_return co_await Create(aRunningCall, aStep);
     case ClaimAction::Read:
-      co_return co_await Read(aRunning);
+      co_return co_await Read(aRunningCall);
     case ClaimAction::Run:
-      co_return co_await Send(aRunning);
+      co_return co_await Send(aRunningCall);
     case ClaimAction::Record:
-      co_return co_await Record(aRunning, aStep);
+      co_return co_await Record(aRunningCall, aStep);
     case ClaimAction::Remove:
-      co_return co_await Remove(aRunning, aStep);
+      co_return co_await Remove(aRunningCall, aStep);
     default:
       co_return aStep;
   }
@@ -116,8 +117,8 @@
 
 namespace {
 
-// What a compare-and-swap did, as the claim's event.
-ClaimStep TellSwap(ClaimCall& aClaim, const Result<KvSwap>& aSwap) {
+// Reports the result of a compare-and-swap to the claim.
+ClaimStep ReportSwap(ClaimCall& aClaim, const Result<KvSwap>& aSwap) {
   if (!aSwap) {
     const bool uncertain = aSwap.error().Kind() == ErrorKind::KvUncertain;
     return uncertain ? aClaim.Uncertain() : aClaim.Unavailable();
@@ -134,61 +135,62 @@
 
 }  // namespace
 
-asio::awaitable<ClaimStep> ChargeRunner::Create(Running& aRunning,
+asio::awaitable<ClaimStep> ChargeRunner::Create(RunningCall& aRunningCall,
                                                 const ClaimStep& aStep) {
   const Result<KvSwap> swap = co_await mNode.Kv().CompareAndSwap(
-      aRunning.mPath, 0, aStep.mValue, kClaimSeconds);
-  co_return TellSwap(aRunning.mClaim, swap);
+      aRunningCall.mPath, 0, aStep.mValue, kClaimLifetimeSeconds);
+  co_return ReportSwap(aRunningCall.mClaim, swap);
 }
 
-asio::awaitable<ClaimStep> ChargeRunner::Record(Running& aRunning,
+asio::awaitable<ClaimStep> ChargeRunner::Record(RunningCall& aRunningCall,
                                                 const ClaimStep& aStep) {
   const Result<KvSwap> swap = co_await mNode.Kv().CompareAndSwap(
-      aRunning.mPath, aStep.mRevision, aStep.mValue, kClaimSeconds);
-  co_return TellSwap(aRunning.mClaim, swap);
+      aRunningCall.mPath, aStep.mRevision, aStep.mValue, kClaimLifetimeSeconds);
+  co_return ReportSwap(aRunningCall.mClaim, swap);
 }
 
-asio::awaitable<ClaimStep> ChargeRunner::Remove(Running& aRunning,
+asio::awaitable<ClaimStep> ChargeRunner::Remove(RunningCall& aRunningCall,
                                                 const ClaimStep& aStep) {
   const Result<KvSwap> swap =
-      co_await mNode.Kv().CompareAndDelete(aRunning.mPath, aStep.mRevision);
-  co_return TellSwap(aRunning.mClaim, swap);
+      co_await mNode.Kv().CompareAndDelete(aRunningCall.mPath, aStep.mRevision);
+  co_return ReportSwap(aRunningCall.mClaim, swap);
 }
 
-asio::awaitable<ClaimStep> ChargeRunner::Read(Running& aRunning) {
+asio::awaitable<ClaimStep> ChargeRunner::Read(RunningCall& aRunningCall) {
   const Result<KvRange> range =
-      co_await mNode.Kv().Range(aRunning.mPath, false);
+      co_await mNode.Kv().Range(aRunningCall.mPath, false);
   if (!range) {
-    co_return aRunning.mClaim.Unavailable();
+    co_return aRunningCall.mClaim.Unavailable();
   }
   if (range->mEntries.empty()) {
-    co_return aRunning.mClaim.Absent();
+    co_return aRunningCall.mClaim.Absent();
   }
   const KvEntry& entry = range->mEntries.front();
-  co_return aRunning.mClaim.Found(entry.mValue, entry.mModRevision);
+  co_return aRunningCall.mClaim.Found(entry.mValue, entry.mModRevision);
 }
 
-// Sent again only while nothing of it has reached an upstream. Any whole
-// answer, whatever its status, is the call's outcome.
-asio::awaitable<ClaimStep> ChargeRunner::Send(Running& aRunning) {
+// Retries only while nothing of the call has reached an upstream. Any complete
+// response, whatever its status, is the outcome of the call.
+asio::awaitable<ClaimStep> ChargeRunner::Send(RunningCall& aRunningCall) {
   for (int attempt = 1;; ++attempt) {
-    Result<HttpResponse> response = co_await SendOnce(mNode, aRunning.mCall);
+    Result<HttpResponse> response =
+        co_await SendOnce(mNode, aRunningCall.mCall);
     if (response) {
       const HttpResponse relayed = RelayedResponse(std::move(*response));
-      co_return aRunning.mClaim.Answered(ToClaimAnswer(relayed));
+      co_return aRunningCall.mClaim.Answered(ToClaimAnswer(relayed));
     }
     const bool notSent = response.error().Run() == RunState::NotRun;
     if (!notSent) {
-      co_return aRunning.mClaim.Lost(response.error());
+      co_return aRunningCall.mClaim.Lost(response.error());
     }
     if (attempt >= kSendAttempts) {
-      co_return aRunning.mClaim.NotRun(response.error());
+      co_return aRunningCall.mClaim.NotRun(response.error());
     }
   }
 }
 
-HttpResponse ChargeRunner::Answer(const Running& aRunning) {
-  const ClaimOutcome& outcome = *aRunning.mClaim.Outcome();
+HttpResponse ChargeRunner::Answer(const RunningCall& aRunningCall) {
+  const ClaimOutcome& outcome = *aRunningCall.mClaim.Outcome();
   mNode.Meter().Add(Counter::ChecksAtMostOnce);
   HttpResponse response;
   RunState ran = RunState::Run;
@@ -209,7 +211,7 @@
       response = ErrorResponse(outcome.mError);
       break;
   }
-  Mark(response, ran, aRunning.mCall.mRequestId);
+  AddRunHeaders(response, ran, aRunningCall.mCall.mRequestId);
   return response;
 }
 
--- a/src/rillwall/cli_client.cpp
+++ b/src/rillwall/cli_client.cpp
@@ -31,8 +31,9 @@
   return text ? std::string(*text) : std::string();
 }
 
-// The failure that an error answer describes.
-CliFailure Described(const HttpResponse& aResponse, const json::value& aValue) {
+// Converts an error response to a failure.
+CliFailure FailureFromResponse(const HttpResponse& aResponse,
+                               const json::value& aValue) {
   const json::object* object = aValue.if_object();
   const json::value* inner = object ? object->if_contains("error") : nullptr;
   const json::object* error = inner ? inner->if_object() : nullptr;
@@ -40,8 +41,8 @@
       error ? KindByName(TextOf(*error, "kind")) : std::nullopt;
   if (!kind) {
     return {ExitCode::Failed,
-            "The answer has status " + std::to_string(aResponse.mStatus) +
-                " and is not one of rillwall's. Check --node."};
+            "The response has status " + std::to_string(aResponse.mStatus) +
+                " and does not come from a rillwall node. Check --node."};
   }
   return {ExitCodeOf(*kind),
           TextOf(*error, "message") + " " + TextOf(*error, "remedy")};
@@ -103,22 +104,24 @@
   asio::co_spawn(context, client.Send(aNode, std::move(aRequest), timeout),
                  [&](std::exception_ptr, Result<HttpResponse> aResult) {
                    result = std::move(aResult);
-                   // The pool's idle connection would keep the context alive.
+                   // An idle connection of the pool would keep the context
+                   // running.
                    context.stop();
                  });
   context.run();
   return result;
 }
 
-CliFailure AdminClient::Explain(const Error& aError) const {
+CliFailure AdminClient::SendFailure(const Error& aError) const {
   if (aError.Run() == RunState::NotRun) {
     return {ExitCode::Unreachable, "Node " + mOptions.mNode +
                                        " does not answer: " + aError.Detail() +
                                        " Check --node, or ask another node."};
   }
   return {ExitCode::Unknown,
-          "Node " + mOptions.mNode + " was asked, but its answer was lost: " +
-              aError.Detail() + " Read back before you try again."};
+          "Node " + mOptions.mNode +
+              " was called, but its response was lost: " + aError.Detail() +
+              " Read back before you try again."};
 }
 
 CliResult<CliAnswer> AdminClient::Call(const char* aMethod, std::string aTarget,
@@ -136,17 +139,17 @@
   }
   Result<HttpResponse> response = Send(*node, std::move(request));
   if (!response) {
-    return Explain(response.error());
+    return SendFailure(response.error());
   }
   json::error_code failed;
   CliAnswer answer;
   answer.mValue = json::parse(response->mBody, failed);
   if (response->mStatus >= kFirstErrorStatus) {
-    return Described(*response, answer.mValue);
+    return FailureFromResponse(*response, answer.mValue);
   }
   if (failed) {
     return CliFailure{ExitCode::Failed,
-                      "The answer is not JSON. Check --node."};
+                      "The response is not JSON. Check --node."};
   }
   answer.mText = std::move(response->mBody);
   return answer;
--- a/src/rillwall/cli_diff.cpp
+++ b/src/rillwall/cli_diff.cpp
@@ -19,10 +19,11 @@
   return lines;
 }
 
-/// Lengths of the longest common subsequences of all pairs of line tails.
-class Common {
+/// Lengths of the longest common subsequences of all pairs of suffixes of two
+/// lists of lines.
+class LcsLengths {
  public:
-  Common(const Lines& aFirst, const Lines& aSecond)
+  LcsLengths(const Lines& aFirst, const Lines& aSecond)
       : mWidth(aSecond.size() + 1), mLengths((aFirst.size() + 1) * mWidth) {
     for (size_t i = aFirst.size(); i-- > 0;) {
       for (size_t j = aSecond.size(); j-- > 0;) {
@@ -53,7 +54,7 @@
   }
   const Lines first = Split(aFirst);
   const Lines second = Split(aSecond);
-  const Common common(first, second);
+  const LcsLengths lengths(first, second);
   std::string text;
   size_t i = 0;
   size_t j = 0;
@@ -63,7 +64,7 @@
       AddLine(text, "  ", first[i++]);
       ++j;
     } else if (j == second.size() ||
-               (more && common.At(i + 1, j) >= common.At(i, j + 1))) {
+               (more && lengths.At(i + 1, j) >= lengths.At(i, j + 1))) {
       AddLine(text, "- ", first[i++]);
     } else {
       AddLine(text, "+ ", second[j++]);
--- a/src/rillwall/cli_diff.h
+++ b/src/rillwall/cli_diff.h
@@ -1,5 +1,5 @@
 /// \file
-/// The lines in which two texts differ.
+/// Line-by-line comparison of two texts.
 
 #pragma once
 
@@ -8,8 +8,9 @@
 
 namespace rillwall {
 
-/// \return the lines of both texts, those only in the first marked "- ", those
-/// only in the second "+ ", common ones "  "; empty if the texts are equal
+/// \return the lines of both texts, or an empty text if they are equal. Lines
+/// only in the first text begin with "- ", lines only in the second with "+ "
+/// and common lines with "  ".
 std::string DiffLines(std::string_view aFirst, std::string_view aSecond);
 
 }  // namespace rillwall
--- a/src/rillwall/cli_drain.cpp
+++ b/src/rillwall/cli_drain.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The verb `drain`: shuts a node down without cutting off its requests.
+/// The verb `drain`: shuts a node down without interrupting its requests.
 
 #include <boost/json.hpp>
 #include <chrono>
@@ -13,9 +13,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kPoll{500};
+constexpr std::chrono::milliseconds kPollPeriod{500};
 
-// "draining, groups running 3, groups held 2": all that the node states.
+// Formats the state of the node, such as "draining, groups running 3, groups
+// held 2".
 std::string Progress(const json::value& aState) {
   std::string text = TextOf(aState, "phase");
   const json::object* object = aState.if_object();
@@ -46,12 +47,12 @@
   const AdminClient client(aArguments.mNode);
   CliResult<CliAnswer> state = client.Call("POST", "/admin/drain");
   if (!state) {
-    return Tell(aContext, state.error());
+    return ReportFailure(aContext, state.error());
   }
   ShowProgress(aContext, aArguments, *state);
   std::string last = state->mText;
   while (!aArguments.mNoWait) {
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollPeriod);
     state = client.Call("GET", "/admin/drain");
     if (!state) {
       break;
@@ -61,10 +62,11 @@
       ShowProgress(aContext, aArguments, *state);
     }
   }
-  // The port closes when no request is left but those in flight.
+  // A draining node closes its port, so an unreachable node and a lost response
+  // both mean that it no longer accepts requests.
   if (!state && state.error().mCode != ExitCode::Unreachable &&
       state.error().mCode != ExitCode::Unknown) {
-    return Tell(aContext, state.error());
+    return ReportFailure(aContext, state.error());
   }
   if (!aArguments.mNoWait && !aArguments.mNode.mJson) {
     aContext.mOut << "Node " << aArguments.mNode.mNode
@@ -79,10 +81,10 @@
 void AddDrainVerb(CLI::App& aApp, const CliContext& aContext) {
   const Verb verb =
       AddNodeVerb(aApp, aContext, "drain",
-                  "Let a node finish what it has and end; shows the progress",
+                  "Let a node finish its work and exit; shows the progress",
                   "rillwall drain --node 10.0.0.1:8080", &Drain);
   verb.mApp->add_flag("--no-wait", verb.mArguments->mNoWait,
-                      "Begin to drain and return at once");
+                      "Start draining and return at once");
 }
 
 }  // namespace rillwall
--- a/src/rillwall/cli_fleet.cpp
+++ b/src/rillwall/cli_fleet.cpp
@@ -36,15 +36,15 @@
     {"HELD", "held"},       {"RUNNING", "running"},
     {"WAITING", "waiting"}, {"STALE", "stale_dropped"}};
 
-// Asks for a list and shows it.
+// Requests a list and prints it as a table or as JSON.
 template <size_t Columns>
-ExitCode Show(const CliContext& aContext, const VerbArguments& aArguments,
-              const char* aTarget, const char* aList,
-              const TableColumn (&aColumns)[Columns]) {
+ExitCode ShowList(const CliContext& aContext, const VerbArguments& aArguments,
+                  const char* aTarget, const char* aList,
+                  const TableColumn (&aColumns)[Columns]) {
   const AdminClient client(aArguments.mNode);
   const CliResult<CliAnswer> answer = client.Call("GET", aTarget);
   if (!answer) {
-    return Tell(aContext, answer.error());
+    return ReportFailure(aContext, answer.error());
   }
   if (aArguments.mNode.mJson) {
     aContext.mOut << answer->mText << "\n";
@@ -55,28 +55,29 @@
 }
 
 ExitCode Hosts(const CliContext& aContext, const VerbArguments& aArguments) {
-  return Show(aContext, aArguments, "/admin/hosts", "hosts", kHosts);
+  return ShowList(aContext, aArguments, "/admin/hosts", "hosts", kHosts);
 }
 
 ExitCode Upstreams(const CliContext& aContext,
                    const VerbArguments& aArguments) {
-  return Show(aContext, aArguments, "/admin/upstreams", "upstreams",
-              kUpstreams);
+  return ShowList(aContext, aArguments, "/admin/upstreams", "upstreams",
+                  kUpstreams);
 }
 
 ExitCode Trainers(const CliContext& aContext, const VerbArguments& aArguments) {
-  return Show(aContext, aArguments, "/admin/trainers", "trainers", kTrainers);
+  return ShowList(aContext, aArguments, "/admin/trainers", "trainers",
+                  kTrainers);
 }
 
 ExitCode Steps(const CliContext& aContext, const VerbArguments& aArguments) {
-  return Show(aContext, aArguments, "/admin/steps", "steps", kSteps);
+  return ShowList(aContext, aArguments, "/admin/steps", "steps", kSteps);
 }
 
 ExitCode Dump(const CliContext& aContext, const VerbArguments& aArguments) {
   const AdminClient client(aArguments.mNode);
   const CliResult<CliAnswer> answer = client.Call("GET", "/admin/dump");
   if (!answer) {
-    return Tell(aContext, answer.error());
+    return ReportFailure(aContext, answer.error());
   }
   if (aArguments.mNode.mJson) {
     aContext.mOut << answer->mText << "\n";
@@ -90,7 +91,7 @@
   const AdminClient client(aArguments.mNode);
   const CliResult<CliAnswer> health = client.Call("GET", "/health");
   if (!health) {
-    return Tell(aContext, health.error());
+    return ReportFailure(aContext, health.error());
   }
   const CliResult<CliAnswer> ready = client.Call("GET", "/ready");
   const json::object shown = {{"alive", true}, {"ready", ready.has_value()}};
@@ -103,7 +104,7 @@
   return ready ? ExitCode::Done : ExitCode::Unavailable;
 }
 
-/// One of this file's verbs.
+/// Definition of a verb.
 struct Row {
   const char* mName;
   const char* mHelp;
@@ -120,9 +121,9 @@
      "rillwall trainers --json", &Trainers},
     {"steps", "Show the steps that one node owns",
      "rillwall steps --node 10.0.0.1:8080", &Steps},
-    {"dump", "Print one node's whole state",
+    {"dump", "Print the whole state of one node",
      "rillwall dump --node 10.0.0.1:8080 --json > dump.json", &Dump},
-    {"health", "Tell whether a node is alive and takes work",
+    {"health", "Show whether a node is alive and accepts work",
      "rillwall health --node 10.0.0.1:8080", &Health},
 };
 
--- a/src/rillwall/cli_local.cpp
+++ b/src/rillwall/cli_local.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Verbs that ask no node: `token make`, `settings` and `explain`.
+/// Verbs that call no node: `token make`, `settings` and `explain`.
 
 #include <filesystem>
 #include <fstream>
@@ -18,14 +18,14 @@
                    const VerbArguments& aArguments) {
   const Result<NewToken> made = MakeToken(aArguments.mScope, aArguments.mName);
   if (!made) {
-    return Tell(aContext,
-                {ExitCodeOf(made.error().Kind()), made.error().Detail()});
+    return ReportFailure(
+        aContext, {ExitCodeOf(made.error().Kind()), made.error().Detail()});
   }
-  // The token goes to one stream and the rest to the other, so that a script
-  // can keep them apart.
+  // The token goes to the output stream and the explanation to the error
+  // stream, so that a script can separate them.
   aContext.mOut << made->mToken << "\n";
-  aContext.mError << "Give the token to its user; it is kept nowhere. Put this "
-                     "line into a policy:\n"
+  aContext.mError << "Give the token to its user; it is not stored. Add this "
+                     "line to a policy:\n"
                   << made->Declaration() << "\n";
   return ExitCode::Done;
 }
@@ -37,23 +37,25 @@
 
 ExitCode Explain(const CliContext& aContext, const VerbArguments& aArguments) {
   if (aArguments.mSteps) {
-    // There is no id to follow: the first word names a log too.
+    // With --steps there is no id, so the first argument names a log too.
     VerbArguments all = aArguments;
     all.mFiles.insert(all.mFiles.begin(), aArguments.mName);
     return ExplainSteps(aContext, all);
   }
   if (aArguments.mFiles.empty()) {
-    return Tell(aContext, {ExitCode::BadRequest,
-                           "No log is named. Give the logs of the nodes after "
-                           "the id."});
+    return ReportFailure(aContext,
+                         {ExitCode::BadRequest,
+                          "No log is named. Give the logs of the nodes after "
+                          "the id."});
   }
   LogTrace trace(aArguments.mName);
   for (const std::string& path : aArguments.mFiles) {
     std::ifstream log(path);
     if (!log) {
-      return Tell(aContext, {ExitCode::BadRequest,
-                             "The log " + path +
-                                 " can't be read. Give files of JSON lines."});
+      return ReportFailure(
+          aContext,
+          {ExitCode::BadRequest,
+           "The log " + path + " can't be read. Give files of JSON lines."});
     }
     trace.Read(log, std::filesystem::path(path).filename().string());
   }
@@ -63,7 +65,7 @@
     aContext.mOut << "+" << line.mTimeMs - first << " ms  " << line.mNode
                   << "  " << line.mEvent << "  " << line.mText << "\n";
   }
-  for (const std::string& gap : trace.Gaps()) {
+  for (const std::string& gap : trace.Warnings()) {
     aContext.mError << gap << "\n";
   }
   return lines.empty() ? ExitCode::NotFound : ExitCode::Done;
@@ -76,7 +78,7 @@
   token->require_subcommand(1);
   const Verb make =
       AddVerb(*token, aContext, "make",
-              "Make a token and the line of policy that admits it",
+              "Make a token and the line that declares it in a policy",
               "rillwall token make operator ayse", &TokenMake);
   make.mApp
       ->add_option("scope", make.mArguments->mScope,
@@ -88,8 +90,8 @@
       ->required();
   const Verb explain =
       AddVerb(aApp, aContext, "explain",
-              "Follow one request, step or item through logs of nodes, or "
-              "tell where the time of all steps went",
+              "Follow one request, step or item through the logs of nodes, or "
+              "show how the time of all steps was spent",
               "rillwall explain 7c41e09b52d6a3f8 logs/*.log, or rillwall "
               "explain --steps logs/*.log",
               &Explain);
@@ -100,7 +102,7 @@
   explain.mApp->add_option("files", explain.mArguments->mFiles,
                            "Logs of the nodes, one file each");
   explain.mApp->add_flag("--steps", explain.mArguments->mSteps,
-                         "Tell the critical path of each step, in ms");
+                         "Show the critical path of each step, in ms");
   explain.mApp->add_flag("--json", explain.mArguments->mJson,
                          "With --steps: print JSON");
   AddVerb(aApp, aContext, "settings", "Print the page of all settings",
--- a/src/rillwall/cli_policy.cpp
+++ b/src/rillwall/cli_policy.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The verbs of `policy`.
+/// The verb `policy` with its subcommands.
 
 #include <boost/json.hpp>
 #include <fstream>
@@ -27,15 +27,16 @@
 constexpr TableColumn kDifferences[] = {
     {"CHANGE", "change"}, {"KIND", "kind"}, {"NAME", "name"}};
 
-// Names of policies need no escapes in a path; others are refused here.
-CliResult<std::string> Target(const VerbArguments& aArguments) {
+// Returns the path of a policy. Refuses names that would need escaping in a
+// path; no valid policy name does.
+CliResult<std::string> PolicyTarget(const VerbArguments& aArguments) {
   constexpr std::string_view kAllowed =
       "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-";
   const std::string& name = aArguments.mName;
   if (name.empty() || name.find_first_not_of(kAllowed) != std::string::npos) {
     return CliFailure{ExitCode::BadRequest,
                       "'" + name +
-                          "' is not a policy's name. Use letters, digits, "
+                          "' is not a valid policy name. Use letters, digits, "
                           "'.', '_' or '-'."};
   }
   return "/admin/policies/" + name;
@@ -85,25 +86,25 @@
   return ExitCode::Partial;
 }
 
-// Sends a change and shows how far it has come.
+// Sends a change and prints on how many nodes it is in force.
 ExitCode Change(const CliContext& aContext, const VerbArguments& aArguments,
                 const char* aMethod, std::string aProgram) {
-  const CliResult<std::string> target = Target(aArguments);
+  const CliResult<std::string> target = PolicyTarget(aArguments);
   if (!target) {
-    return Tell(aContext, target.error());
+    return ReportFailure(aContext, target.error());
   }
   const AdminClient client(aArguments.mNode);
   const CliResult<CliAnswer> answer =
       client.Call(aMethod, WithRevision(*target, aArguments.mRevision),
                   std::move(aProgram));
   return answer ? ShowAccepted(aContext, aArguments, *answer)
-                : Tell(aContext, answer.error());
+                : ReportFailure(aContext, answer.error());
 }
 
 ExitCode Put(const CliContext& aContext, const VerbArguments& aArguments) {
   CliResult<std::string> program = ReadProgram(aArguments.mFile);
   if (!program) {
-    return Tell(aContext, program.error());
+    return ReportFailure(aContext, program.error());
   }
   return Change(aContext, aArguments, "PUT", std::move(*program));
 }
@@ -113,7 +114,7 @@
 }
 
 CliResult<CliAnswer> Fetch(const VerbArguments& aArguments) {
-  const CliResult<std::string> target = Target(aArguments);
+  const CliResult<std::string> target = PolicyTarget(aArguments);
   if (!target) {
     return target.error();
   }
@@ -123,7 +124,7 @@
 ExitCode Get(const CliContext& aContext, const VerbArguments& aArguments) {
   const CliResult<CliAnswer> answer = Fetch(aArguments);
   if (!answer) {
-    return Tell(aContext, answer.error());
+    return ReportFailure(aContext, answer.error());
   }
   if (aArguments.mNode.mJson) {
     aContext.mOut << answer->mText << "\n";
@@ -136,11 +137,11 @@
 ExitCode Diff(const CliContext& aContext, const VerbArguments& aArguments) {
   const CliResult<std::string> program = ReadProgram(aArguments.mFile);
   if (!program) {
-    return Tell(aContext, program.error());
+    return ReportFailure(aContext, program.error());
   }
   const CliResult<CliAnswer> answer = Fetch(aArguments);
   if (!answer) {
-    return Tell(aContext, answer.error());
+    return ReportFailure(aContext, answer.error());
   }
   const std::string diff =
       DiffLines(TextOf(answer->mValue, "program"), *program);
@@ -154,15 +155,15 @@
 
 ExitCode Check(const CliContext& aContext, const VerbArguments& aArguments) {
   CliResult<std::string> program = ReadProgram(aArguments.mFile);
-  const CliResult<std::string> target = Target(aArguments);
+  const CliResult<std::string> target = PolicyTarget(aArguments);
   if (!program || !target) {
-    return Tell(aContext, program ? target.error() : program.error());
+    return ReportFailure(aContext, program ? target.error() : program.error());
   }
   const AdminClient client(aArguments.mNode);
   const CliResult<CliAnswer> answer =
       client.Call("POST", *target + "/check", std::move(*program));
   if (!answer) {
-    return Tell(aContext, answer.error());
+    return ReportFailure(aContext, answer.error());
   }
   const json::array& changes = ArrayOf(*answer, "changes");
   if (aArguments.mNode.mJson) {
@@ -182,7 +183,7 @@
   const CliResult<CliAnswer> answer =
       AdminClient(aArguments.mNode).Call("GET", "/admin/policies");
   if (!answer) {
-    return Tell(aContext, answer.error());
+    return ReportFailure(aContext, answer.error());
   }
   if (aArguments.mNode.mJson) {
     aContext.mOut << answer->mText << "\n";
@@ -198,7 +199,7 @@
   const CliResult<CliAnswer> answer =
       AdminClient(aArguments.mNode).Call("GET", "/admin/history");
   if (!answer) {
-    return Tell(aContext, answer.error());
+    return ReportFailure(aContext, answer.error());
   }
   if (aArguments.mNode.mJson) {
     aContext.mOut << answer->mText << "\n";
@@ -208,7 +209,7 @@
   return ExitCode::Done;
 }
 
-/// One of this file's verbs and the arguments that it takes.
+/// Definition of a subcommand and the arguments that it takes.
 struct Row {
   const char* mName;
   const char* mHelp;
@@ -227,9 +228,9 @@
      true, false, false},
     {"list", "Show the policies in force", "rillwall policy list", &List, false,
      false, false},
-    {"delete", "Withdraw a policy", "rillwall policy delete letters", &Delete,
+    {"delete", "Remove a policy", "rillwall policy delete letters", &Delete,
      true, false, true},
-    {"check", "Tell what a policy would change, and change nothing",
+    {"check", "Show what a policy would change, without changing anything",
      "rillwall policy check letters letters.lua", &Check, true, true, false},
     {"diff", "Compare the policy in force with a file",
      "rillwall policy diff letters letters.lua", &Diff, true, true, false},
@@ -245,13 +246,14 @@
   if (aRow.mTakesFile) {
     aVerb.mApp
         ->add_option("file", arguments.mFile,
-                     "Its program; - reads the standard input")
+                     "File with its program; - reads the standard input")
         ->required();
   }
   if (aRow.mTakesRevision) {
     aVerb.mApp
-        ->add_option("--revision", arguments.mRevision,
-                     "Refuse if the policies are not at this revision any more")
+        ->add_option(
+            "--revision", arguments.mRevision,
+            "Refuse the change unless the policies are at this revision")
         ->check(CLI::NonNegativeNumber);
   }
 }
@@ -260,7 +262,7 @@
 
 void AddPolicyVerbs(CLI::App& aApp, const CliContext& aContext) {
   CLI::App* policy =
-      aApp.add_subcommand("policy", "Write, replace and withdraw policies");
+      aApp.add_subcommand("policy", "Write, replace and remove policies");
   policy->require_subcommand(1);
   for (const Row& row : kRows) {
     const Verb verb = AddNodeVerb(*policy, aContext, row.mName, row.mHelp,
--- a/src/rillwall/cli_steps.cpp
+++ b/src/rillwall/cli_steps.cpp
@@ -48,26 +48,27 @@
 }
 
 int64_t Percentile(const std::vector<int64_t>& aSorted, size_t aPercent) {
-  constexpr size_t kAll = 100;
-  return aSorted[(aSorted.size() - 1) * aPercent / kAll];
+  constexpr size_t kWholePercent = 100;
+  return aSorted[(aSorted.size() - 1) * aPercent / kWholePercent];
 }
 
 json::object ModelRow(const std::string& aModel, const char* aPart,
                       std::vector<int64_t> aValues) {
-  constexpr size_t kHalf = 50;
-  constexpr size_t kNineTenths = 90;
+  constexpr size_t kMedianPercent = 50;
+  constexpr size_t kP90Percent = 90;
   std::sort(aValues.begin(), aValues.end());
   json::object row;
   row["model"] = aModel;
   row["steps"] = aValues.size();
   row["part"] = aPart;
-  row["median"] = Percentile(aValues, kHalf);
-  row["p90"] = Percentile(aValues, kNineTenths);
+  row["median"] = Percentile(aValues, kMedianPercent);
+  row["p90"] = Percentile(aValues, kP90Percent);
   row["most"] = aValues.back();
   return row;
 }
 
-/// \return for each model and part its spread over the steps
+/// \return one row for each model and part, with its distribution over the
+/// steps
 json::array ModelRows(const std::vector<StepPath>& aPaths) {
   std::map<std::string, std::vector<const StepPath*>> models;
   for (const StepPath& path : aPaths) {
@@ -120,7 +121,7 @@
     aContext.mOut << "\n";
     PrintTable(aContext.mOut, kModelColumns, models);
   }
-  for (const std::string& gap : trace.Gaps()) {
+  for (const std::string& gap : trace.Warnings()) {
     aContext.mError << gap << "\n";
   }
   return paths.empty() ? ExitCode::NotFound : ExitCode::Done;
--- a/src/rillwall/cli_steps.h
+++ b/src/rillwall/cli_steps.h
@@ -1,5 +1,5 @@
 /// \file
-/// `explain --steps`: where the time of rollout steps went.
+/// `explain --steps`: how the time of rollout steps was spent.
 
 #pragma once
 
@@ -7,7 +7,9 @@
 
 namespace rillwall {
 
-/// Prints the steps that the logs mFiles tell of, and a table by model.
+/// Prints the critical path of each step found in the logs aArguments.mFiles,
+/// and a summary by model. Warnings about the logs go to the error stream.
+/// \return NotFound if the logs contain no step that reached its target
 ExitCode ExplainSteps(const CliContext& aContext,
                       const VerbArguments& aArguments);
 
--- a/src/rillwall/cli_suspects.cpp
+++ b/src/rillwall/cli_suspects.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The verb `suspects`: requests that have ended replicas.
+/// The verb `suspects`: requests that crashed replicas.
 
 #include "cli_table.h"
 #include "cli_verb.h"
@@ -27,7 +27,7 @@
   const CliResult<CliAnswer> answer =
       client.Call(clears || holds ? "POST" : "GET", target);
   if (!answer) {
-    return Tell(aContext, answer.error());
+    return ReportFailure(aContext, answer.error());
   }
   if (aArguments.mNode.mJson) {
     aContext.mOut << answer->mText << "\n";
@@ -42,15 +42,15 @@
 void AddSuspectsVerb(CLI::App& aApp, const CliContext& aContext) {
   const Verb verb = AddNodeVerb(
       aApp, aContext, "suspects",
-      "Show the requests that have ended replicas, as a host of the users' "
-      "platform knows them; those held are run by no host",
+      "Show the requests that crashed replicas, as known to one host of the "
+      "users' platform; no host runs a request that is held",
       "rillwall suspects --node 10.0.0.1:7720", &Suspects);
   CLI::Option* clear = verb.mApp->add_option(
       "--clear", verb.mArguments->mClear,
-      "Have the request of this digest run again, on all hosts");
+      "Let all hosts run the request with this digest again");
   verb.mApp
       ->add_option("--hold", verb.mArguments->mHold,
-                   "Have no host run the request of this digest")
+                   "Stop all hosts from running the request with this digest")
       ->excludes(clear);
 }
 
--- a/src/rillwall/cli_table.cpp
+++ b/src/rillwall/cli_table.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int kIndent = 2;
-constexpr size_t kGap = 2;
+constexpr size_t kColumnGap = 2;
 
 using Cells = std::vector<std::string>;
 
@@ -45,7 +45,7 @@
   for (size_t i = 0; i < aCells.size(); ++i) {
     line += aCells[i];
     if (i + 1 < aCells.size()) {
-      line.append(aWidths[i] + kGap - aCells[i].size(), ' ');
+      line.append(aWidths[i] + kColumnGap - aCells[i].size(), ' ');
     }
   }
   aOut << line << "\n";
--- a/src/rillwall/cli_table.h
+++ b/src/rillwall/cli_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// Shows JSON to people: tables of like objects, and indented text.
+/// Prints JSON for users: arrays of objects as tables, other values indented.
 
 #pragma once
 
@@ -9,17 +9,18 @@
 
 namespace rillwall {
 
-/// A column: its title and the field that it shows.
+/// Title of a column and the field that it shows.
 struct TableColumn {
   const char* mTitle;
   const char* mField;
 };
 
-/// Prints one row for each object of an array; a missing field shows as "-".
+/// Prints one row for each object of an array. A missing or empty field is
+/// shown as "-".
 void PrintTable(std::ostream& aOut, std::span<const TableColumn> aColumns,
                 const boost::json::array& aRows);
 
-/// Prints a value over several lines, indented.
+/// Prints a value as indented JSON on several lines.
 void PrintIndented(std::ostream& aOut, const boost::json::value& aValue);
 
 }  // namespace rillwall
--- a/src/rillwall/cli_test.cpp
+++ b/src/rillwall/cli_test.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// A node's API with fixed answers, on a port of its own.
+/// HTTP server with fixed responses, on a port of its own.
 class FakeNode {
  public:
   explicit FakeNode(std::optional<TlsSettings> aTls = std::nullopt)
@@ -39,8 +39,8 @@
 
   const std::string& Address() const { return mAddress; }
 
-  /// Sets the answers to "METHOD target"; the last one is given again and
-  /// again, and with none the answer is cut.
+  /// Sets the responses to "METHOD target". The last one is repeated. Without
+  /// any, the response is truncated.
   void Set(const std::string& aRequest, std::vector<HttpResponse> aAnswers) {
     const std::lock_guard lock(mMutex);
     mAnswers[aRequest] = std::move(aAnswers);
@@ -71,7 +71,7 @@
       co_await aExchange.Respond(*response);
       co_return;
     }
-    // An answer that is begun and not ended is cut.
+    // A response that is started but not ended is truncated.
     HttpResponse head;
     co_await aExchange.Begin(std::move(head));
   }
@@ -87,8 +87,8 @@
   std::thread mThread;
 };
 
-/// A certificate that signs itself, good for 127.0.0.1, in a PEM file with its
-/// key. The file is removed at the end.
+/// PEM file with a self-signed certificate for 127.0.0.1 and its key. The
+/// destructor removes the file.
 class CertificateFile {
  public:
   CertificateFile() {
@@ -119,7 +119,7 @@
       (std::filesystem::temp_directory_path() / "rillwall-cli-XXXXXX").string();
 };
 
-/// What one command line does.
+/// Result of one command line.
 struct Outcome {
   int mExit = 0;
   std::string mOut;
@@ -162,32 +162,32 @@
 
 class CliTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CliTest);
-  CPPUNIT_TEST(TestPut);
-  CPPUNIT_TEST(TestPartial);
-  CPPUNIT_TEST(TestErrors);
-  CPPUNIT_TEST(TestUnreachable);
-  CPPUNIT_TEST(TestLostAnswer);
-  CPPUNIT_TEST(TestTls);
-  CPPUNIT_TEST(TestTables);
-  CPPUNIT_TEST(TestGetAndDiff);
-  CPPUNIT_TEST(TestCheck);
-  CPPUNIT_TEST(TestHealth);
-  CPPUNIT_TEST(TestDrain);
-  CPPUNIT_TEST(TestSuspects);
-  CPPUNIT_TEST(TestTokenMake);
-  CPPUNIT_TEST(TestHelp);
+  CPPUNIT_TEST(PutPrintsRevisionAndSendsToken);
+  CPPUNIT_TEST(ChangeNotYetInForceExitsPartial);
+  CPPUNIT_TEST(ErrorKindsMapToExitCodes);
+  CPPUNIT_TEST(DeadNodeIsReportedUnreachable);
+  CPPUNIT_TEST(LostAnswerIsReportedUnknown);
+  CPPUNIT_TEST(ServerCertificateIsVerified);
+  CPPUNIT_TEST(ListsArePrintedAsTablesOrJson);
+  CPPUNIT_TEST(GetPrintsAndDiffComparesTheProgram);
+  CPPUNIT_TEST(CheckPrintsTheChanges);
+  CPPUNIT_TEST(HealthReflectsReadiness);
+  CPPUNIT_TEST(DrainShowsProgressUntilTheNodeEnds);
+  CPPUNIT_TEST(SuspectsAreListedClearedAndHeld);
+  CPPUNIT_TEST(TokenMakePrintsTokenAndDeclaration);
+  CPPUNIT_TEST(EveryVerbHasAnExample);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override { mNode = std::make_unique<FakeNode>(); }
   void tearDown() override { mNode.reset(); }
 
-  void TestPut() {
+  void PutPrintsRevisionAndSendsToken() {
     Reply("PUT /admin/policies/a?revision=4", 200,
           R"({"revision":5,"accepted":true,"in_force":3,"nodes":3,)"
           R"("missing":[]})");
-    const Outcome put = Ask(std::string("policy put a ") + kProgram +
-                            " --revision 4 --token secret");
+    const Outcome put = RunOnNode(std::string("policy put a ") + kProgram +
+                                  " --revision 4 --token secret");
     CPPUNIT_ASSERT_EQUAL_MESSAGE(put.mError, 0, put.mExit);
     CPPUNIT_ASSERT_EQUAL(
         std::string("Accepted as revision 5, in force on 3 of 3 nodes.\n"),
@@ -198,33 +198,33 @@
                          *sent.Find("Authorization"));
   }
 
-  void TestSuspects() {
+  void SuspectsAreListedClearedAndHeld() {
     const std::string one =
         R"({"suspects":[{"request":"00ff","what":"POST h/p","crashes":3,)"
         R"("held":true,"held_for_ms":5000,"last_ms":7,"replicas":["i-1"]}]})";
     Reply("GET /node/suspects", 200, one);
-    const Outcome listed = Ask("suspects");
+    const Outcome listed = RunOnNode("suspects");
     CPPUNIT_ASSERT_EQUAL_MESSAGE(listed.mError, 0, listed.mExit);
     CPPUNIT_ASSERT(Contains(listed.mOut, "00ff"));
     CPPUNIT_ASSERT(Contains(listed.mOut, "POST h/p"));
     Reply("POST /node/suspects?action=clear&request=00ff", 200,
           R"({"suspects":[]})");
-    CPPUNIT_ASSERT_EQUAL(0, Ask("suspects --clear 00ff").mExit);
+    CPPUNIT_ASSERT_EQUAL(0, RunOnNode("suspects --clear 00ff").mExit);
     Reply("POST /node/suspects?action=hold&request=00ff", 200, one);
-    CPPUNIT_ASSERT_EQUAL(0, Ask("suspects --hold 00ff").mExit);
-    CPPUNIT_ASSERT(Ask("suspects --hold 00ff --clear 00ff").mExit >= 100);
+    CPPUNIT_ASSERT_EQUAL(0, RunOnNode("suspects --hold 00ff").mExit);
+    CPPUNIT_ASSERT(RunOnNode("suspects --hold 00ff --clear 00ff").mExit >= 100);
   }
 
-  void TestPartial() {
+  void ChangeNotYetInForceExitsPartial() {
     Reply("DELETE /admin/policies/a", 200,
           R"({"revision":5,"accepted":true,"in_force":2,"nodes":3,)"
           R"("missing":["n3"]})");
-    const Outcome removed = Ask("policy delete a");
+    const Outcome removed = RunOnNode("policy delete a");
     CPPUNIT_ASSERT_EQUAL(static_cast<int>(ExitCode::Partial), removed.mExit);
     CPPUNIT_ASSERT(Contains(removed.mError, "Not yet confirmed by: n3."));
   }
 
-  void TestErrors() {
+  void ErrorKindsMapToExitCodes() {
     const std::map<const char*, ExitCode> codes = {
         {"bad-request", ExitCode::BadRequest},
         {"forbidden", ExitCode::Refused},
@@ -236,20 +236,20 @@
         {"internal", ExitCode::Failed}};
     for (const auto& [kind, code] : codes) {
       Reply("GET /admin/policies/a", 409, ErrorBody(kind));
-      const Outcome got = Ask("policy get a");
+      const Outcome got = RunOnNode("policy get a");
       CPPUNIT_ASSERT_EQUAL_MESSAGE(kind, static_cast<int>(code), got.mExit);
       CPPUNIT_ASSERT_EQUAL(std::string("rillwall: The cause. The remedy.\n"),
                            got.mError);
     }
     Reply("GET /admin/policies/a", 404, "<html>");
-    CPPUNIT_ASSERT(Contains(Ask("policy get a").mError, "Check --node"));
+    CPPUNIT_ASSERT(Contains(RunOnNode("policy get a").mError, "Check --node"));
     const int bad = static_cast<int>(ExitCode::BadRequest);
-    CPPUNIT_ASSERT_EQUAL(bad, Ask("policy get a/../b").mExit);
-    CPPUNIT_ASSERT_EQUAL(bad, Ask("policy put a /nowhere").mExit);
+    CPPUNIT_ASSERT_EQUAL(bad, RunOnNode("policy get a/../b").mExit);
+    CPPUNIT_ASSERT_EQUAL(bad, RunOnNode("policy put a /nowhere").mExit);
     CPPUNIT_ASSERT_EQUAL(bad, RunLine("hosts --node localhost").mExit);
   }
 
-  void TestUnreachable() {
+  void DeadNodeIsReportedUnreachable() {
     const std::string address = mNode->Address();
     mNode.reset();
     const Outcome hosts = RunLine("hosts --node " + address);
@@ -257,13 +257,13 @@
     CPPUNIT_ASSERT(Contains(hosts.mError, "does not answer"));
   }
 
-  void TestLostAnswer() {
-    const Outcome removed = Ask("policy delete a");
+  void LostAnswerIsReportedUnknown() {
+    const Outcome removed = RunOnNode("policy delete a");
     CPPUNIT_ASSERT_EQUAL(static_cast<int>(ExitCode::Unknown), removed.mExit);
     CPPUNIT_ASSERT(Contains(removed.mError, "Read back"));
   }
 
-  void TestTls() {
+  void ServerCertificateIsVerified() {
     const CertificateFile own;
     const CertificateFile other;
     TlsSettings tls;
@@ -271,71 +271,72 @@
     tls.mKeyFile = own.Name();
     mNode = std::make_unique<FakeNode>(tls);
     Reply("GET /admin/hosts", 200, R"({"hosts":[]})");
-    CPPUNIT_ASSERT_EQUAL(0, Ask("hosts --tls-ca " + own.Name()).mExit);
+    CPPUNIT_ASSERT_EQUAL(0, RunOnNode("hosts --tls-ca " + own.Name()).mExit);
     const int unreachable = static_cast<int>(ExitCode::Unreachable);
     CPPUNIT_ASSERT_EQUAL(unreachable,
-                         Ask("hosts --tls-ca " + other.Name()).mExit);
-    CPPUNIT_ASSERT_EQUAL(unreachable, Ask("hosts --tls-ca /nowhere").mExit);
-    CPPUNIT_ASSERT(Ask("hosts").mExit != 0);
+                         RunOnNode("hosts --tls-ca " + other.Name()).mExit);
+    CPPUNIT_ASSERT_EQUAL(unreachable,
+                         RunOnNode("hosts --tls-ca /nowhere").mExit);
+    CPPUNIT_ASSERT(RunOnNode("hosts").mExit != 0);
   }
 
-  void TestTables() {
+  void ListsArePrintedAsTablesOrJson() {
     const std::string body =
         R"({"hosts":[{"id":"n1","zone":"maslak","state":"alive"},)"
         R"({"id":"node-2","zone":"z","state":"dead","incarnation":7}]})";
     Reply("GET /admin/hosts", 200, body);
-    const Outcome table = Ask("hosts");
+    const Outcome table = RunOnNode("hosts");
     CPPUNIT_ASSERT_EQUAL(
         std::string("NODE    ZONE    STATE  HTTP  RPC  INCARNATION\n"
                     "n1      maslak  alive  -     -    -\n"
                     "node-2  z       dead   -     -    7\n"),
         table.mOut);
-    CPPUNIT_ASSERT_EQUAL(body + "\n", Ask("hosts --json").mOut);
+    CPPUNIT_ASSERT_EQUAL(body + "\n", RunOnNode("hosts --json").mOut);
     Reply("GET /admin/dump", 200, R"({"a":[1,{"b":""}],"c":{}})");
     CPPUNIT_ASSERT_EQUAL(
         std::string("{\n  \"a\": [\n    1,\n    {\n      \"b\":"
                     " \"\"\n    }\n  ],\n  \"c\": {}\n}\n"),
-        Ask("dump").mOut);
+        RunOnNode("dump").mOut);
   }
 
-  void TestGetAndDiff() {
+  void GetPrintsAndDiffComparesTheProgram() {
     std::ifstream file(kProgram);
     std::ostringstream text;
     text << file.rdbuf();
     const boost::json::object same = {{"program", text.str()}};
     Reply("GET /admin/policies/a", 200, boost::json::serialize(same));
-    CPPUNIT_ASSERT_EQUAL(text.str(), Ask("policy get a").mOut);
+    CPPUNIT_ASSERT_EQUAL(text.str(), RunOnNode("policy get a").mOut);
     const std::string line = std::string("policy diff a ") + kProgram;
-    CPPUNIT_ASSERT_EQUAL(0, Ask(line).mExit);
+    CPPUNIT_ASSERT_EQUAL(0, RunOnNode(line).mExit);
     Reply("GET /admin/policies/a", 200, R"({"program":"other\n"})");
-    const Outcome diff = Ask(line);
+    const Outcome diff = RunOnNode(line);
     CPPUNIT_ASSERT_EQUAL(static_cast<int>(ExitCode::Different), diff.mExit);
     CPPUNIT_ASSERT(diff.mOut.starts_with("- other\n+ add_sub"));
     CPPUNIT_ASSERT_EQUAL(std::string("  a\n- b\n+ x\n  c\n+ d\n"),
                          DiffLines("a\nb\nc", "a\nx\nc\nd\n"));
   }
 
-  void TestCheck() {
+  void CheckPrintsTheChanges() {
     Reply("POST /admin/policies/a/check", 200,
           R"({"revision":4,"changes":[{"kind":"house","name":"b",)"
           R"("change":"added"}]})");
-    const Outcome check = Ask(std::string("policy check a ") + kProgram);
+    const Outcome check = RunOnNode(std::string("policy check a ") + kProgram);
     CPPUNIT_ASSERT_EQUAL(std::string("Valid; over revision 4 it would change:\n"
                                      "CHANGE  KIND   NAME\n"
                                      "added   house  b\n"),
                          check.mOut);
   }
 
-  void TestHealth() {
+  void HealthReflectsReadiness() {
     Reply("GET /health", 200, R"({"alive":true})");
     Reply("GET /ready", 503, R"({"phase":"draining"})");
     CPPUNIT_ASSERT_EQUAL(static_cast<int>(ExitCode::Unavailable),
-                         Ask("health").mExit);
+                         RunOnNode("health").mExit);
     Reply("GET /ready", 200, R"({"phase":"ready"})");
-    CPPUNIT_ASSERT_EQUAL(0, Ask("health").mExit);
+    CPPUNIT_ASSERT_EQUAL(0, RunOnNode("health").mExit);
   }
 
-  void TestDrain() {
+  void DrainShowsProgressUntilTheNodeEnds() {
     Reply("POST /admin/drain", 200,
           R"({"phase":"draining","groups_running":2})");
     mNode->Set(
@@ -343,19 +344,19 @@
         {HttpResponse::Json(200, R"({"phase":"draining","groups_running":2})"),
          HttpResponse::Json(200, R"({"phase":"draining","groups_running":1})"),
          HttpResponse::Json(404, ErrorBody("not-found"))});
-    const Outcome drain = Ask("drain");
+    const Outcome drain = RunOnNode("drain");
     CPPUNIT_ASSERT_EQUAL(static_cast<int>(ExitCode::NotFound), drain.mExit);
     CPPUNIT_ASSERT_EQUAL(std::string("draining, groups running 2\n"
                                      "draining, groups running 1\n"),
                          drain.mOut);
     mNode->Set("GET /admin/drain", {});
-    const Outcome ended = Ask("drain");
+    const Outcome ended = RunOnNode("drain");
     CPPUNIT_ASSERT_EQUAL(0, ended.mExit);
     CPPUNIT_ASSERT(Contains(ended.mOut, "takes no more requests"));
-    CPPUNIT_ASSERT_EQUAL(0, Ask("drain --no-wait").mExit);
+    CPPUNIT_ASSERT_EQUAL(0, RunOnNode("drain --no-wait").mExit);
   }
 
-  void TestTokenMake() {
+  void TokenMakePrintsTokenAndDeclaration() {
     const Outcome made = RunLine("token make operator ayse");
     CPPUNIT_ASSERT_EQUAL(0, made.mExit);
     CPPUNIT_ASSERT(made.mOut.starts_with("rw_"));
@@ -364,7 +365,7 @@
                          RunLine("token make root ayse").mExit);
   }
 
-  void TestHelp() {
+  void EveryVerbHasAnExample() {
     for (const char* verb :
          {"policy put", "policy get", "policy list", "policy delete",
           "policy check", "policy diff", "policy history", "hosts", "upstreams",
@@ -381,7 +382,7 @@
   void Reply(const char* aRequest, int aStatus, std::string aBody) {
     mNode->Set(aRequest, {HttpResponse::Json(aStatus, std::move(aBody))});
   }
-  Outcome Ask(const std::string& aLine) {
+  Outcome RunOnNode(const std::string& aLine) {
     return RunLine(aLine + " --node " + mNode->Address());
   }
 
--- a/src/rillwall/cli_verb.h
+++ b/src/rillwall/cli_verb.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the verbs of the command line share.
+/// Types and helpers shared by the verbs of the command line.
 
 #pragma once
 
@@ -13,14 +13,14 @@
 
 namespace rillwall {
 
-/// Where a verb writes, and the code that it leaves.
+/// Output streams of a verb, and the place for its exit code.
 struct CliContext {
   std::ostream& mOut;
   std::ostream& mError;
   int& mExitCode;
 };
 
-/// Arguments of any verb; each uses those that it adds options for.
+/// Arguments of all verbs. Each verb uses only those for which it adds options.
 struct VerbArguments {
   NodeOptions mNode;
   std::string mName;
@@ -35,34 +35,40 @@
   bool mJson = false;
 };
 
-/// Does a verb's work.
+/// Runs a verb.
 using RunVerb = ExitCode (*)(const CliContext& aContext,
                              const VerbArguments& aArguments);
 
-/// Makes a verb: its help with an example, and what it runs.
-/// \return the verb's options go to .first, their values to .second
+/// A verb that was added to the command line.
 struct Verb {
-  CLI::App* mApp;
-  std::shared_ptr<VerbArguments> mArguments;
+  CLI::App* mApp;                             ///< takes the verb's options
+  std::shared_ptr<VerbArguments> mArguments;  ///< values of the options
 };
+/// Adds a verb.
+/// \param aExample command line that the help shows as an example
+/// \param aRun called when the command line names the verb
 Verb AddVerb(CLI::App& aParent, const CliContext& aContext, const char* aName,
              const char* aHelp, const char* aExample, RunVerb aRun);
-/// The same, with the options that say which node to ask.
+/// Adds a verb with the options that select the node to call.
 Verb AddNodeVerb(CLI::App& aParent, const CliContext& aContext,
                  const char* aName, const char* aHelp, const char* aExample,
                  RunVerb aRun);
 
-/// Tells a failure. \return its exit code
-ExitCode Tell(const CliContext& aContext, const CliFailure& aFailure);
+/// Prints a failure to the error stream.
+/// \return its exit code
+ExitCode ReportFailure(const CliContext& aContext, const CliFailure& aFailure);
 
-/// \return the named array of an answer, empty if there is none
+/// \return the named array of a response, empty if the field is missing or of
+/// another type
 const boost::json::array& ArrayOf(const CliAnswer& aAnswer, const char* aField);
-/// \return the named number of an answer, 0 if there is none
+/// \return the named number of an object, 0 if the field is missing or of
+/// another type
 int64_t NumberOf(const boost::json::value& aValue, const char* aField);
-/// \return the named text of an answer, empty if there is none
+/// \return the named string of an object, empty if the field is missing or of
+/// another type
 std::string TextOf(const boost::json::value& aValue, const char* aField);
 
-/// Adds `policy` with its verbs.
+/// Adds `policy` with its subcommands.
 void AddPolicyVerbs(CLI::App& aApp, const CliContext& aContext);
 /// Adds `hosts`, `upstreams`, `trainers`, `steps`, `dump` and `health`.
 void AddFleetVerbs(CLI::App& aApp, const CliContext& aContext);
@@ -70,7 +76,7 @@
 void AddDrainVerb(CLI::App& aApp, const CliContext& aContext);
 /// Adds `suspects`.
 void AddSuspectsVerb(CLI::App& aApp, const CliContext& aContext);
-/// Adds `token` with its verbs and `settings`, which ask no node.
+/// Adds `token`, `explain` and `settings`, which call no node.
 void AddLocalVerbs(CLI::App& aApp, const CliContext& aContext);
 
 }  // namespace rillwall
--- a/src/rillwall/cli_verbs.cpp
+++ b/src/rillwall/cli_verbs.cpp
@@ -12,13 +12,15 @@
 namespace {
 
 constexpr char kExitCodes[] =
-    "Exit codes of the verbs that ask a node: 0 done; 1 failed; 2 an argument "
+    "Exit codes of the verbs that call a node: 0 done; 1 failed; 2 an argument "
     "or file is not valid; 3 the node does not answer; 4 the token is missing "
-    "or not allowed this; 5 not found; 6 another change came first; 7 the "
-    "policy is not valid; 8 not available now, nothing was changed; 9 it may "
-    "have been done, read back; 10 accepted, but not yet in force on every "
-    "node; 11 `policy diff` found differences; 100 and above: the command line "
-    "is not valid.";
+    "or does not allow this; 5 not found; 6 another change was accepted first; "
+    "7 the policy is not valid; 8 not available now, nothing was changed; 9 "
+    "the "
+    "outcome is unknown, read the state back; 10 accepted, but not yet in "
+    "force "
+    "on every node; 11 `policy diff` found differences; 100 and above: the "
+    "command line is not valid.";
 
 const json::value* Field(const json::value& aValue, const char* aField) {
   const json::object* object = aValue.if_object();
@@ -28,7 +30,7 @@
 void AddTlsOptions(CLI::App& aApp, TlsSettings& aTls) {
   aApp.add_option("--tls-ca", aTls.mAuthorityFile,
                   "PEM file with the authority of the node's certificate; "
-                  "without it no TLS is spoken")
+                  "without it TLS is not used")
       ->envname("RILLWALL_TLS_CA");
   aApp.add_option("--tls-cert", aTls.mCertificateFile,
                   "PEM file with your certificate, if the node asks for one")
@@ -61,25 +63,25 @@
   constexpr int64_t kMaxTimeoutSeconds = 3600;
   Verb verb = AddVerb(aParent, aContext, aName, aHelp, aExample, aRun);
   NodeOptions& node = verb.mArguments->mNode;
-  verb.mApp->add_option("--node", node.mNode, "The node to ask, ip:port")
+  verb.mApp->add_option("--node", node.mNode, "The node to call, ip:port")
       ->envname("RILLWALL_NODE")
       ->capture_default_str();
   verb.mApp
       ->add_option("--token", node.mToken,
-                   "Token of an operator; others on this host can see a flag, "
-                   "so the variable is better")
+                   "Token of an operator; other users of this host can see a "
+                   "flag, so prefer the environment variable")
       ->envname("RILLWALL_TOKEN");
   verb.mApp
       ->add_option("--timeout-seconds", node.mTimeoutSeconds,
-                   "Longest wait for one answer")
+                   "Longest wait for one response, in seconds")
       ->check(CLI::Range(int64_t{1}, kMaxTimeoutSeconds))
       ->capture_default_str();
   AddTlsOptions(*verb.mApp, node.mTls);
-  verb.mApp->add_flag("--json", node.mJson, "Print the answer as JSON");
+  verb.mApp->add_flag("--json", node.mJson, "Print the response as JSON");
   return verb;
 }
 
-ExitCode Tell(const CliContext& aContext, const CliFailure& aFailure) {
+ExitCode ReportFailure(const CliContext& aContext, const CliFailure& aFailure) {
   aContext.mError << "rillwall: " << aFailure.mText << "\n";
   return aFailure.mCode;
 }
--- a/src/rillwall/cli_verbs.h
+++ b/src/rillwall/cli_verbs.h
@@ -1,5 +1,5 @@
 /// \file
-/// The verbs of the command line that talk to a node.
+/// All verbs of the command line except `serve`.
 
 #pragma once
 
@@ -9,10 +9,10 @@
 
 namespace rillwall {
 
-/// Adds all verbs but `serve`.
+/// Adds all verbs except `serve`.
 /// \param aApp the whole command line
-/// \param aExitCode set by the verb that is run: 0 done, 1 failed, or one of
-/// the codes that `rillwall --help` lists
+/// \param aExitCode set by the verb that runs: 0 on success, 1 on failure, or
+/// another code of the list that `rillwall --help` prints
 void AddClientVerbs(CLI::App& aApp, int& aExitCode);
 
 }  // namespace rillwall
--- a/src/rillwall/gossip_loop.cpp
+++ b/src/rillwall/gossip_loop.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Millis kTick{50};
+constexpr Millis kTickPeriod{50};
 constexpr Millis kExchangePeriod{10000};
 constexpr Millis kFirstExchange{300};
 constexpr Millis kExchangeTimeout{2000};
@@ -40,7 +40,7 @@
     : mNode(aNode),
       mSocket(aNode.Context(),
               [this](std::string_view aBytes, const std::string& aFrom) {
-                Received(std::string(aBytes), aFrom);
+                HandleDatagram(std::string(aBytes), aFrom);
               }),
       mKey(ReadKey(aNode.Settings().mFleetKeyFile)),
       mRandom(std::random_device()()) {}
@@ -84,12 +84,13 @@
     mNode.Meter().Add(Counter::GossipReceivedBytes, received - mReceivedBytes);
     mSentBytes = sent;
     mReceivedBytes = received;
-    co_await Node::Sleep(kTick);
+    co_await Node::Sleep(kTickPeriod);
   }
 }
 
-// Datagrams can all be lost; a whole exchange now and then repairs what they
-// missed, and gives a node that has just joined everything at once.
+// Exchanges the full state with a random peer at intervals. This repairs what
+// lost datagrams failed to deliver, and gives a node that has just joined the
+// whole state at once.
 asio::awaitable<void> GossipLoop::ExchangeLoop() {
   co_await Node::Sleep(kFirstExchange);
   while (true) {
@@ -136,7 +137,7 @@
   }
 }
 
-void GossipLoop::Received(std::string aBytes, const std::string& aFrom) {
+void GossipLoop::HandleDatagram(std::string aBytes, const std::string& aFrom) {
   Result<GossipMessage> message = DecodeGossip(aBytes, mKey);
   if (!message) {
     Log(Part::Gossip).Warn("Dropped a datagram: " + message.error().Detail());
--- a/src/rillwall/group_runner.cpp
+++ b/src/rillwall/group_runner.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr Millis kSampleDeadline{600000};
-constexpr Millis kRefusedPause{100};
+constexpr Millis kScoreRetryPause{100};
 constexpr Millis kScoreTimeout{3000};
 constexpr int kScoreAttempts = 6;
 constexpr int kTrainingPriority = 5;
@@ -37,31 +37,32 @@
                 aOrder.attempt()};
   const auto cancel = std::make_shared<std::atomic<bool>>(false);
   const int64_t size = aOrder.group_size();
-  const bool begun = co_await mNode.OnControl([&] {
+  const bool started = co_await mNode.OnControl([&] {
     return mRunning.emplace(key, RunningGroup{cancel, size}).second;
   });
-  if (!begun) {
+  if (!started) {
     co_return Error(ErrorKind::Conflict, "This attempt is running already.");
   }
-  std::vector<asio::awaitable<std::optional<MadeSample>>> tasks;
+  std::vector<asio::awaitable<std::optional<GeneratedSample>>> tasks;
   for (int64_t i = 0; i < size; ++i) {
-    tasks.push_back(MakeSample(aOrder, *rule, static_cast<size_t>(i), cancel));
+    tasks.push_back(
+        GenerateSample(aOrder, *rule, static_cast<size_t>(i), cancel));
   }
-  std::vector<std::optional<MadeSample>> made =
+  std::vector<std::optional<GeneratedSample>> generated =
       co_await RunAll(asio::make_strand(mNode.Context()), std::move(tasks));
-  const bool whole = std::ranges::all_of(
-      made, [](const auto& aSample) { return aSample.has_value(); });
-  std::vector<MadeSample> samples;
-  for (auto& sample : made) {
-    if (whole) {
+  const bool complete = std::ranges::all_of(
+      generated, [](const auto& aSample) { return aSample.has_value(); });
+  std::vector<GeneratedSample> samples;
+  for (auto& sample : generated) {
+    if (complete) {
       samples.push_back(std::move(*sample));
     }
   }
   co_return co_await mNode.OnControl([&]() -> Result<wire::GroupSummary> {
     mRunning.erase(key);
-    if (!whole) {
+    if (!complete) {
       return Error(ErrorKind::UpstreamFailed,
-                   "A sample of the group could not be made.");
+                   "A sample of the group could not be generated.");
     }
     Hold(key, std::move(samples));
     mNode.Meter().Add(Counter::GroupsRun);
@@ -86,7 +87,8 @@
   request.mCompletion.mModel = aRule.mModel;
   request.mCompletion.mPrompt = prompt;
   request.mCompletion.mMaxTokens = aOrder.max_tokens();
-  // Attempts of one sample need not be alike, samples of a group must differ.
+  // The samples of a group need different seeds. Attempts at the same sample
+  // may share one.
   request.mCompletion.mSeed = aOrder.seed() * 1000003 + aOrder.group() * 1009 +
                               static_cast<int64_t>(aIndex);
   request.mCompletion.mPriority = kTrainingPriority;
@@ -97,9 +99,9 @@
   return request;
 }
 
-asio::awaitable<std::optional<GroupRunner::MadeSample>> GroupRunner::MakeSample(
-    wire::RunGroup aOrder, TrainerRule aRule, size_t aIndex,
-    CancelFlag aCancel) {
+asio::awaitable<std::optional<GroupRunner::GeneratedSample>>
+GroupRunner::GenerateSample(wire::RunGroup aOrder, TrainerRule aRule,
+                            size_t aIndex, CancelFlag aCancel) {
   ModelRequest request = MakeRequest(aOrder, aRule, aIndex);
   request.mCancel = aCancel;
   Result<ModelAnswer> answer = co_await mCalls.Run(request, ChunkSink());
@@ -109,9 +111,9 @@
         .Info("A sample failed: " + answer.error().Detail());
     co_return std::nullopt;
   }
-  MadeSample made;
-  made.mFirstToken = answer->mFirstToken;
-  wire::Sample& sample = made.mSample;
+  GeneratedSample generated;
+  generated.mFirstToken = answer->mFirstToken;
+  wire::Sample& sample = generated.mSample;
   sample.set_group(aOrder.group());
   sample.set_index(static_cast<uint32_t>(aIndex));
   sample.set_finish(answer->mFinish);
@@ -128,10 +130,11 @@
     sample.set_score(*score);
   }
   sample.set_text(std::move(answer->mText));
-  co_return made;
+  co_return generated;
 }
 
-// Scoring changes nothing, so it may be repeated at another scorer.
+// Scoring has no side effects, so a failed attempt is retried, possibly at
+// another scorer.
 asio::awaitable<Result<double>> GroupRunner::Score(std::string aScorer,
                                                    std::string aPrompt,
                                                    std::string aText) {
@@ -141,7 +144,7 @@
   const std::string encoded = json::serialize(body);
   for (int attempt = 0; attempt < kScoreAttempts; ++attempt) {
     if (attempt > 0) {
-      co_await Node::Sleep(kRefusedPause * (int64_t{1} << attempt));
+      co_await Node::Sleep(kScoreRetryPause * (int64_t{1} << attempt));
     }
     const auto table = mNode.Upstreams().Read();
     const UpstreamEntry* scorer =
@@ -154,11 +157,11 @@
     request.mMethod = "POST";
     request.mTarget = "/score";
     request.mBody = encoded;
-    UpstreamUse use(scorer->mLoad);
+    InFlightCall inFlight(scorer->mLoad);
     const Result<HttpResponse> response = co_await mNode.Http().Send(
         scorer->mEndpoint, std::move(request), kScoreTimeout);
     const bool good = response && response->mStatus == kOk;
-    use.End(!good, mNode.Now());
+    inFlight.End(!good, mNode.Now());
     if (!good) {
       continue;
     }
@@ -178,31 +181,31 @@
 
 void GroupRunner::CheckLabel(const wire::Sample& aSample) {
   mNode.Meter().Add(Counter::ChecksLabel);
-  int64_t at = 0;
+  int64_t expectedBegin = 0;
   for (const wire::VersionSpan& span : aSample.label()) {
-    if (span.begin() != at || span.end() <= span.begin()) {
-      mNode.BrokenInvariant("A label has a gap or an empty span.");
+    if (span.begin() != expectedBegin || span.end() <= span.begin()) {
+      mNode.ReportBrokenInvariant("A label has a gap or an empty span.");
       return;
     }
-    at = span.end();
+    expectedBegin = span.end();
   }
-  if (at == 0 && !aSample.text().empty()) {
-    mNode.BrokenInvariant("A sample has text but no label.");
+  if (expectedBegin == 0 && !aSample.text().empty()) {
+    mNode.ReportBrokenInvariant("A sample has text but no label.");
   }
 }
 
-void GroupRunner::Hold(const Key& aKey, std::vector<MadeSample> aSamples) {
+void GroupRunner::Hold(const Key& aKey, std::vector<GeneratedSample> aSamples) {
   HeldGroup held;
   held.mFirstToken = mNode.Now();
   held.mOldestVersion = INT64_MAX;
-  for (MadeSample& made : aSamples) {
-    CheckLabel(made.mSample);
-    held.mFirstToken = std::min(held.mFirstToken, made.mFirstToken);
-    for (const wire::VersionSpan& span : made.mSample.label()) {
+  for (GeneratedSample& generated : aSamples) {
+    CheckLabel(generated.mSample);
+    held.mFirstToken = std::min(held.mFirstToken, generated.mFirstToken);
+    for (const wire::VersionSpan& span : generated.mSample.label()) {
       held.mOldestVersion = std::min(held.mOldestVersion, span.version());
       held.mTokens += span.end() - span.begin();
     }
-    held.mSamples.push_back(std::move(made.mSample));
+    held.mSamples.push_back(std::move(generated.mSample));
   }
   mHeld[aKey] = std::move(held);
 }
@@ -285,7 +288,7 @@
   }
 }
 
-std::vector<wire::HandOver> GroupRunner::TakeHeld() {
+std::vector<wire::HandOver> GroupRunner::ExtractHeldGroups() {
   std::vector<wire::HandOver> parts;
   for (const auto& [key, held] : mHeld) {
     if (parts.empty() || FromWire(parts.back().id()).value() != key.mStep) {
@@ -314,7 +317,7 @@
   }
 }
 
-int64_t GroupRunner::Room(const TrainerRule& aRule) const {
+int64_t GroupRunner::FreeCapacity(const TrainerRule& aRule) const {
   return mNode.Calls().FreeTrainingSlots(aRule.mModel);
 }
 
--- a/src/rillwall/group_runner.h
+++ b/src/rillwall/group_runner.h
@@ -1,9 +1,10 @@
 /// \file
-/// Runs groups of samples for the owners of steps, and holds the finished ones
-/// until the trainer has stated their receipt.
+/// Runs groups of samples for the owners of steps, and holds finished groups
+/// until the trainer has confirmed their receipt.
 ///
-/// A runner knows nothing of a step as a whole. It answers an order when the
-/// group is finished; if the answer is lost, an inventory shows the group.
+/// A runner has no state about a step as a whole. It replies to an order when
+/// the group is finished. If the reply is lost, the owner finds the group
+/// through an inventory request.
 
 #pragma once
 
@@ -19,27 +20,37 @@
 
 namespace rillwall {
 
+/// Runs groups on this node and stores the finished ones.
 class GroupRunner {
  public:
   GroupRunner(Node& aNode, ModelCalls& aCalls);
 
-  /// Runs a group to its end.
-  /// \return what the owner's index needs
+  /// Generates all samples of a group and holds the group if all succeed.
+  /// \return the summary that the owner records, or an error: NotFound without
+  /// a policy for the trainer, Conflict if the attempt is running already,
+  /// UpstreamFailed if a sample failed
   asio::awaitable<Result<wire::GroupSummary>> RunGroup(wire::RunGroup aOrder);
 
   /// \name On the control strand only
   /// @{
+  /// Cancels one attempt at a group and drops its result.
   void Cancel(const wire::CancelGroup& aCancel);
+  /// Drops the named groups of a step, or all of them, and cancels those that
+  /// are running.
   void Release(const wire::ReleaseGroups& aRelease);
+  /// \return those of the requested groups that this node holds
   wire::FetchedGroups Fetch(const wire::FetchGroups& aFetch) const;
+  /// Stores the groups that a draining node hands over.
   void TakeOver(const wire::HandOver& aHandOver);
-  /// Adds what is held and run of a step.
+  /// Adds the held and running groups of a step.
   void Inventory(const StepId& aStep, wire::Inventory& aInventory) const;
-  /// \return groups of this trainer's model that could be started now
-  int64_t Room(const TrainerRule& aRule) const;
-  /// Takes everything held, by step, to hand it to another node.
-  std::vector<wire::HandOver> TakeHeld();
-  size_t Held() const;
+  /// \return how many samples of this trainer's model could start now
+  int64_t FreeCapacity(const TrainerRule& aRule) const;
+  /// Removes all held groups so that they can be handed over to other nodes.
+  /// \return the groups, one entry for each step
+  std::vector<wire::HandOver> ExtractHeldGroups();
+  size_t Held() const;  ///< number of held groups
+  /// \return the number of running groups
   size_t Running() const { return mRunning.size(); }
   /// @}
 
@@ -59,27 +70,26 @@
     int64_t mTokens = 0;
     Millis mFirstToken;  ///< the earliest of its samples
   };
-  /// A group being run.
+  /// A running group.
   struct RunningGroup {
     CancelFlag mCancel;
     int64_t mGroupSize = 0;
   };
-  /// One sample with the instant of its first token.
-  struct MadeSample {
+  /// A sample and the time of its first token.
+  struct GeneratedSample {
     wire::Sample mSample;
     Millis mFirstToken;
   };
 
-  asio::awaitable<std::optional<MadeSample>> MakeSample(wire::RunGroup aOrder,
-                                                        TrainerRule aRule,
-                                                        size_t aIndex,
-                                                        CancelFlag aCancel);
+  asio::awaitable<std::optional<GeneratedSample>> GenerateSample(
+      wire::RunGroup aOrder, TrainerRule aRule, size_t aIndex,
+      CancelFlag aCancel);
   asio::awaitable<Result<double>> Score(std::string aScorer,
                                         std::string aPrompt, std::string aText);
   ModelRequest MakeRequest(const wire::RunGroup& aOrder,
                            const TrainerRule& aRule, size_t aIndex) const;
   void CheckLabel(const wire::Sample& aSample);
-  void Hold(const Key& aKey, std::vector<MadeSample> aSamples);
+  void Hold(const Key& aKey, std::vector<GeneratedSample> aSamples);
   wire::GroupSummary Summary(const Key& aKey, const HeldGroup& aHeld) const;
   wire::FetchedGroup Fetched(const Key& aKey, const HeldGroup& aHeld) const;
 
--- a/src/rillwall/log_line.cpp
+++ b/src/rillwall/log_line.cpp
@@ -8,7 +8,7 @@
 
 constexpr char kBegin[] = "{\"time_ms\"";
 
-/// \return the last word before the JSON, or the file's name
+/// \return the last word before the JSON, or the file's name if there is none
 std::string NodeOf(const std::string& aBefore, const std::string& aName) {
   std::istringstream words(aBefore);
   std::string word;
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-bool HoldsLogLine(const std::string& aText) {
+bool ContainsLogLine(const std::string& aText) {
   return aText.find(kBegin) != std::string::npos;
 }
 
@@ -40,18 +40,18 @@
   LogLine line;
   line.mFields = std::move(value.get_object());
   line.mNode = NodeOf(aText.substr(0, begin), aName);
-  line.mTime = LineNumber(line.mFields, "time_ms");
+  line.mTime = NumberField(line.mFields, "time_ms");
   return line;
 }
 
-std::string LineText(const json::object& aLine, std::string_view aName) {
+std::string TextField(const json::object& aLine, std::string_view aName) {
   const json::value* value = aLine.if_contains(aName);
   return value != nullptr && value->is_string()
              ? std::string(value->get_string())
              : std::string();
 }
 
-int64_t LineNumber(const json::object& aLine, std::string_view aName) {
+int64_t NumberField(const json::object& aLine, std::string_view aName) {
   const json::value* value = aLine.if_contains(aName);
   return value != nullptr && value->is_int64() ? value->get_int64() : 0;
 }
--- a/src/rillwall/log_line.h
+++ b/src/rillwall/log_line.h
@@ -1,5 +1,5 @@
 /// \file
-/// One line of a node's log.
+/// Parser for the lines of a node's JSON log.
 
 #pragma once
 
@@ -12,21 +12,22 @@
 
 namespace json = boost::json;
 
+/// A parsed line.
 struct LogLine {
   json::object mFields;
-  std::string mNode;  ///< the file's name, or the word before the line
+  std::string mNode;  ///< last word before the JSON, or else the file's name
   int64_t mTime = 0;  ///< wall clock of the node, ms
 };
 
-/// \return whether a text holds the beginning of a log line
-bool HoldsLogLine(const std::string& aText);
-/// \param aName of the file
-/// \return the line, or nothing if the text holds none or a broken one
+/// \return whether a text contains the beginning of a JSON log line
+bool ContainsLogLine(const std::string& aText);
+/// \param aName name of the file
+/// \return the line, or nothing if the text contains no valid JSON log line
 std::optional<LogLine> ParseLogLine(const std::string& aText,
                                     const std::string& aName);
-/// \return a field as text, empty if it is missing or none
-std::string LineText(const json::object& aLine, std::string_view aName);
-/// \return a field as a whole number, 0 if it is missing or none
-int64_t LineNumber(const json::object& aLine, std::string_view aName);
+/// \return a string field, empty if it is missing or of another type
+std::string TextField(const json::object& aLine, std::string_view aName);
+/// \return an integer field, 0 if it is missing or of another type
+int64_t NumberField(const json::object& aLine, std::string_view aName);
 
 }  // namespace rillwall
--- a/src/rillwall/log_trace.cpp
+++ b/src/rillwall/log_trace.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// \return whether a field of the line is the id, or a path that ends with it
-bool TellsOf(const json::object& aLine, const std::string& aId) {
+/// \return whether a field of the line is the id, or a path that contains it
+bool Mentions(const json::object& aLine, const std::string& aId) {
   return std::any_of(aLine.begin(), aLine.end(), [&](const auto& aField) {
     const json::string* text = aField.value().if_string();
     if (text == nullptr) {
@@ -45,17 +45,17 @@
   while (std::getline(aLog, text)) {
     const std::optional<LogLine> parsed = ParseLogLine(text, aName);
     if (!parsed) {
-      mBroken += HoldsLogLine(text) ? 1 : 0;
+      mUnparsedLines += ContainsLogLine(text) ? 1 : 0;
       continue;
     }
     const json::object& line = parsed->mFields;
-    const std::string event = LineText(line, "event");
+    const std::string event = TextField(line, "event");
     if (event == "log-dropped") {
-      mDropped += line.contains("lines")
-                      ? static_cast<uint64_t>(line.at("lines").as_int64())
-                      : 0;
+      mDroppedLines += line.contains("lines")
+                           ? static_cast<uint64_t>(line.at("lines").as_int64())
+                           : 0;
     }
-    if (TellsOf(line, mId)) {
+    if (Mentions(line, mId)) {
       mLines.push_back(
           {parsed->mTime, parsed->mNode, event, OtherFields(line)});
     }
@@ -71,21 +71,21 @@
   return lines;
 }
 
-std::vector<std::string> LogTrace::Gaps() const {
+std::vector<std::string> LogTrace::Warnings() const {
   std::vector<std::string> gaps;
   if (mLines.empty()) {
     gaps.push_back(
         "No line in " + std::to_string(mFiles) +
-        " files tells of it: it never came to these nodes, or a "
+        " files mentions the id: it never reached these nodes, or a "
         "node that had it was killed before it wrote its last lines. "
         "Add the logs of the other nodes.");
   }
-  if (mDropped > 0) {
-    gaps.push_back(std::to_string(mDropped) +
+  if (mDroppedLines > 0) {
+    gaps.push_back(std::to_string(mDroppedLines) +
                    " lines were dropped by nodes whose output was not read.");
   }
-  if (mBroken > 0) {
-    gaps.push_back(std::to_string(mBroken) + " lines can't be read.");
+  if (mUnparsedLines > 0) {
+    gaps.push_back(std::to_string(mUnparsedLines) + " lines can't be read.");
   }
   return gaps;
 }
--- a/src/rillwall/log_trace.h
+++ b/src/rillwall/log_trace.h
@@ -1,5 +1,5 @@
 /// \file
-/// The way of one request, step or item through the logs of several nodes.
+/// Follows one request, step or item through the logs of several nodes.
 
 #pragma once
 
@@ -9,31 +9,32 @@
 
 namespace rillwall {
 
-/// One line of a log that tells of the id.
+/// A log line that mentions the id.
 struct TraceLine {
   int64_t mTimeMs = 0;  ///< wall clock of the node that wrote it
-  std::string mNode;    ///< the file's name, or the word before the line
+  std::string mNode;    ///< last word before the JSON, or else the file's name
   std::string mEvent;
-  std::string mText;  ///< its other fields, "name=value"
+  std::string mText;  ///< the other fields as "name=value"
 };
 
-/// Gathers the lines that tell of an id.
+/// Collects the log lines that mention an id.
 class LogTrace {
  public:
   explicit LogTrace(std::string aId) : mId(std::move(aId)) {}
 
-  /// Reads one node's log: JSON lines, each with words before it or not.
+  /// Reads the log of one node. Other text may precede the JSON of a line.
+  /// \param aName name of the file
   void Read(std::istream& aLog, const std::string& aName);
-  /// \return the lines in order of time
+  /// \return the lines sorted by time
   std::vector<TraceLine> Lines() const;
-  /// \return what a reader should know of lines that may be missing
-  std::vector<std::string> Gaps() const;
+  /// \return messages about lines that are missing or unreadable
+  std::vector<std::string> Warnings() const;
 
  private:
   const std::string mId;
   std::vector<TraceLine> mLines;
-  uint64_t mDropped = 0;  ///< lines that nodes say they could not write
-  uint64_t mBroken = 0;   ///< lines that begin as JSON and are none
+  uint64_t mDroppedLines = 0;   ///< lines that nodes report as not written
+  uint64_t mUnparsedLines = 0;  ///< lines that begin like JSON but do not parse
   size_t mFiles = 0;
 };
 
--- a/src/rillwall/log_trace_test.cpp
+++ b/src/rillwall/log_trace_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of following one id through logs.
+/// Tests of LogTrace, which follows one id through logs.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,9 +11,9 @@
 
 class LogTraceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LogTraceTest);
-  CPPUNIT_TEST(FollowsAnIdOverNodesInOrderOfTime);
-  CPPUNIT_TEST(TakesLinesWithWordsBefore);
-  CPPUNIT_TEST(TellsWhatIsMissing);
+  CPPUNIT_TEST(FollowsAnIdAcrossNodesInTimeOrder);
+  CPPUNIT_TEST(AcceptsTextBeforeTheJson);
+  CPPUNIT_TEST(WarnsOfMissingLines);
   CPPUNIT_TEST_SUITE_END();
 
   LogTrace mTrace{"7c41"};
@@ -23,7 +23,7 @@
     mTrace.Read(log, aName);
   }
 
-  void FollowsAnIdOverNodesInOrderOfTime() {
+  void FollowsAnIdAcrossNodesInTimeOrder() {
     Read("two.log",
          "{\"time_ms\":20,\"event\":\"refused\",\"id\":\"7c41\",\"status\":503}"
          "\n{\"time_ms\":21,\"event\":\"refused\",\"id\":\"7c410\"}\n");
@@ -37,21 +37,21 @@
     CPPUNIT_ASSERT_EQUAL(std::string("one.log"), lines[0].mNode);
     CPPUNIT_ASSERT_EQUAL(std::string("id=7c41 status=503"), lines[1].mText);
     CPPUNIT_ASSERT_EQUAL(std::string("node-call-failed"), lines[2].mEvent);
-    CPPUNIT_ASSERT(mTrace.Gaps().empty());
+    CPPUNIT_ASSERT(mTrace.Warnings().empty());
   }
 
-  void TakesLinesWithWordsBefore() {
+  void AcceptsTextBeforeTheJson() {
     Read("all.log",
          "   8.13 storage-1 {\"time_ms\":1,\"event\":\"item-run\","
          "\"id\":\"i\",\"step\":\"7c41\"}\nother output\n");
     CPPUNIT_ASSERT_EQUAL(std::string("storage-1"), mTrace.Lines()[0].mNode);
   }
 
-  void TellsWhatIsMissing() {
+  void WarnsOfMissingLines() {
     Read("one.log",
          "{\"time_ms\":1,\"event\":\"log-dropped\",\"lines\":12}\n"
          "{\"time_ms\":2,\"event\":\"cut in the mid\n");
-    const auto gaps = mTrace.Gaps();
+    const auto gaps = mTrace.Warnings();
     CPPUNIT_ASSERT_EQUAL(size_t{3}, gaps.size());
     CPPUNIT_ASSERT(gaps[1].find("12 lines") != std::string::npos);
   }
--- a/src/rillwall/main.cpp
+++ b/src/rillwall/main.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The one binary: `rillwall serve` runs a node, the other verbs talk to one.
+/// The rillwall binary: `rillwall serve` runs a node, the other verbs are
+/// command-line tools.
 
 #include <CLI/CLI.hpp>
 #include <iostream>
@@ -14,13 +15,13 @@
 int main(int aCount, char** aArgs) {
   CLI::App app("Rollout service for reinforcement learning");
   app.require_subcommand(1);
-  app.set_help_all_flag("--help-all", "Help of all verbs");
+  app.set_help_all_flag("--help-all", "Print the help of all verbs");
   int exitCode = 0;
   CLI::App* serve = app.add_subcommand("serve", "Run a node");
   rillwall::SettingsReader reader;
   reader.AddTo(*serve);
   bool check = false;
-  serve->add_flag("--check", check, "Check the settings and end");
+  serve->add_flag("--check", check, "Check the settings and exit");
   serve->callback([&] {
     const std::optional<std::string> file = rillwall::platform::NodeFilePath();
     if (file) {
--- a/src/rillwall/metrics.cpp
+++ b/src/rillwall/metrics.cpp
@@ -18,7 +18,7 @@
 
 namespace acc = boost::accumulators;
 
-using Spans = acc::accumulator_set<
+using Distribution = acc::accumulator_set<
     double, acc::stats<acc::tag::count, acc::tag::sum, acc::tag::max,
                        acc::tag::extended_p_square_quantile>>;
 
@@ -49,8 +49,8 @@
     kTimingNames = {"first_token_ms", "service_call_ms", "pull_wait_ms",
                     "sample_age_ms", "policy_spread_ms"};
 
-Spans MakeSpans() {
-  return Spans(acc::extended_p_square_probabilities = kQuantiles);
+Distribution MakeDistribution() {
+  return Distribution(acc::extended_p_square_probabilities = kQuantiles);
 }
 
 }  // namespace
@@ -58,7 +58,8 @@
 struct Metrics::Impl {
   std::array<std::atomic<uint64_t>, kCounterNames.size()> mCounters{};
   mutable std::mutex mMutex;
-  std::vector<Spans> mSpans{kTimingNames.size(), MakeSpans()};
+  std::vector<Distribution> mDistributions{kTimingNames.size(),
+                                           MakeDistribution()};
 };
 
 Metrics::Metrics() : mImpl(std::make_unique<Impl>()) {}
@@ -76,7 +77,7 @@
 
 void Metrics::Measure(Timing aTiming, Millis aSpan) {
   const std::lock_guard lock(mImpl->mMutex);
-  mImpl->mSpans[static_cast<size_t>(aTiming)](
+  mImpl->mDistributions[static_cast<size_t>(aTiming)](
       static_cast<double>(aSpan.Count()));
 }
 
@@ -89,18 +90,19 @@
   }
   const std::lock_guard lock(mImpl->mMutex);
   for (size_t i = 0; i < kTimingNames.size(); ++i) {
-    const Spans& spans = mImpl->mSpans[i];
-    const auto count = acc::count(spans);
+    const Distribution& distribution = mImpl->mDistributions[i];
+    const auto count = acc::count(distribution);
     text << "# TYPE rillwall_" << kTimingNames[i] << " summary\n";
     for (const double quantile : kQuantiles) {
       text << "rillwall_" << kTimingNames[i] << "{quantile=\"" << quantile
            << "\"} "
-           << (count == 0
-                   ? 0.0
-                   : acc::quantile(spans, acc::quantile_probability = quantile))
+           << (count == 0 ? 0.0
+                          : acc::quantile(distribution,
+                                          acc::quantile_probability = quantile))
            << '\n';
     }
-    text << "rillwall_" << kTimingNames[i] << "_sum " << acc::sum(spans) << '\n'
+    text << "rillwall_" << kTimingNames[i] << "_sum " << acc::sum(distribution)
+         << '\n'
          << "rillwall_" << kTimingNames[i] << "_count " << count << '\n';
   }
   return text.str();
--- a/src/rillwall/metrics.h
+++ b/src/rillwall/metrics.h
@@ -1,9 +1,8 @@
 /// \file
-/// What a node counts and measures of itself.
+/// Counters and timings of a node, exported in Prometheus' exposition format.
 ///
-/// Counters are atomics that any thread adds to. Spans go through
-/// Boost.Accumulators behind a mutex; none is taken on the path of a plain
-/// call. The text is Prometheus' exposition format.
+/// Counters are atomics that any thread may increment. Timings use
+/// Boost.Accumulators behind a mutex, which each measurement takes once.
 
 #pragma once
 
@@ -17,7 +16,7 @@
 
 namespace rillwall {
 
-/// A counter of the fixed list in metrics.cpp.
+/// Counters. metrics.cpp lists their names in the same order.
 enum class Counter {
   RequestsInteractive,
   RequestsService,
@@ -58,7 +57,7 @@
   Count
 };
 
-/// A span measured in milliseconds.
+/// Timings in milliseconds. metrics.cpp lists their names in the same order.
 enum class Timing {
   FirstToken,
   ServiceCall,
@@ -68,14 +67,16 @@
   Count
 };
 
+/// Holds the metrics of one node. All methods may be called on any thread.
 class Metrics {
  public:
   Metrics();
   ~Metrics();
   void Add(Counter aCounter, uint64_t aAmount = 1);
   uint64_t Value(Counter aCounter) const;
+  /// Adds one duration to a timing.
   void Measure(Timing aTiming, Millis aSpan);
-  /// \return all of it as Prometheus text
+  /// \return all metrics as Prometheus text
   std::string Text() const;
 
  private:
--- a/src/rillwall/model_calls.cpp
+++ b/src/rillwall/model_calls.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr Millis kTick{20};
+constexpr Millis kTickPeriod{20};
 constexpr Millis kFirstChunkTimeout{10000};
 constexpr Millis kChunkTimeout{4000};
 constexpr int kMaxAttempts = 8;
-constexpr Millis kRefusedPause{100};
+constexpr Millis kRefusalPause{100};
 constexpr int kOk = 200;
-constexpr int kBusy = 503;
+constexpr int kServiceUnavailable = 503;
 
 bool IsSet(const CancelFlag& aFlag) {
   return aFlag != nullptr && aFlag->load(std::memory_order_relaxed);
@@ -21,13 +21,14 @@
 
 }  // namespace
 
-/// A call between its engines.
-struct ModelCalls::Running {
+/// Progress of a call across its attempts.
+struct ModelCalls::CallState {
   ModelAnswer mAnswer;
   CancelFlag mPreempted;
   bool mReceiverGone = false;
-  bool mWhole = false;
-  RunState mRan = RunState::NotRun;  ///< whether an engine ran a part of it
+  bool mComplete = false;
+  /// Whether an engine ran a part of the call.
+  RunState mRunState = RunState::NotRun;
 };
 
 ModelCalls::ModelCalls(Node& aNode, UpstreamKeeper& aUpstreams)
@@ -38,16 +39,16 @@
 asio::awaitable<void> ModelCalls::TickLoop() {
   while (true) {
     Apply(mNode.Calls().Tick(mNode.Now()));
-    co_await Node::Sleep(kTick);
+    co_await Node::Sleep(kTickPeriod);
   }
 }
 
 void ModelCalls::Apply(std::vector<CallDecision> aDecisions) {
   for (CallDecision& decision : aDecisions) {
     if (decision.mAction == CallAction::Preempt) {
-      const auto running = mPreempt.find(decision.mTicket);
-      if (running != mPreempt.end()) {
-        running->second->store(true, std::memory_order_relaxed);
+      const auto state = mPreemptFlags.find(decision.mTicket);
+      if (state != mPreemptFlags.end()) {
+        state->second->store(true, std::memory_order_relaxed);
       }
       continue;
     }
@@ -73,7 +74,7 @@
 asio::awaitable<void> ModelCalls::Finish(uint64_t aTicket,
                                          CallOutcome aOutcome) {
   co_await mNode.OnControl([this, aTicket, aOutcome] {
-    mPreempt.erase(aTicket);
+    mPreemptFlags.erase(aTicket);
     Apply(mNode.Calls().Finish(aTicket, aOutcome, mNode.Now()));
     return true;
   });
@@ -81,41 +82,42 @@
 
 asio::awaitable<Result<ModelAnswer>> ModelCalls::Run(ModelRequest aRequest,
                                                      ChunkSink aSink) {
-  Running running;
+  CallState state;
   int attempts = 0;
   while (true) {
     aRequest.mSpec.mTicket = mNextTicket.fetch_add(1);
     if (IsSet(aRequest.mCancel)) {
       co_return Error(ErrorKind::Superseded, "The call was cancelled.",
-                      running.mRan);
+                      state.mRunState);
     }
     const CallDecision decision = co_await Admit(aRequest.mSpec);
-    const bool wait = aRequest.mSpec.mClass == CallClass::Training &&
-                      mNode.Now() < aRequest.mSpec.mDeadline;
-    if (decision.mAction == CallAction::Refuse && wait) {
-      // Nobody waits for a single sample; what it has so far is kept. It comes
-      // back as a first call: the retry budget grows with these only, and would
-      // stay empty if every sample were a retry.
+    const bool canWait = aRequest.mSpec.mClass == CallClass::Training &&
+                         mNode.Now() < aRequest.mSpec.mDeadline;
+    if (decision.mAction == CallAction::Refuse && canWait) {
+      // A training sample has no caller who waits for it, so it tries again
+      // later and keeps the text generated so far. It is submitted as a first
+      // call and not as a retry: only first calls add to the retry budget,
+      // which would stay empty if every sample were a retry.
       aRequest.mSpec.mAvoid.clear();
       aRequest.mSpec.mRetry = false;
-      co_await Node::Sleep(std::max(kRefusedPause, decision.mRetryAfter));
+      co_await Node::Sleep(std::max(kRefusalPause, decision.mRetryAfter));
       continue;
     }
     if (decision.mAction == CallAction::Refuse) {
       co_return Error(decision.mReason, "No engine could take the call now.",
-                      running.mRan)
+                      state.mRunState)
           .After(decision.mRetryAfter);
     }
-    running.mPreempted = std::make_shared<std::atomic<bool>>(false);
+    state.mPreempted = std::make_shared<std::atomic<bool>>(false);
     const CallOutcome outcome =
-        co_await Stream(aRequest, decision, running, aSink);
+        co_await Stream(aRequest, decision, state, aSink);
     co_await Finish(decision.mTicket, outcome);
-    if (running.mWhole) {
-      co_return std::move(running.mAnswer);
+    if (state.mComplete) {
+      co_return std::move(state.mAnswer);
     }
-    if (running.mReceiverGone) {
-      co_return Error(ErrorKind::ConnectionLost, "The caller has gone.",
-                      RunState::Run);
+    if (state.mReceiverGone) {
+      co_return Error(ErrorKind::ConnectionLost,
+                      "The caller closed the connection.", RunState::Run);
     }
     aRequest.mSpec.mRetry = false;
     if (outcome == CallOutcome::Cancelled) {
@@ -123,19 +125,20 @@
       continue;
     }
     aRequest.mSpec.mAvoid.push_back(decision.mUpstream);
-    // A call that goes on from what it has repeats no work.
-    aRequest.mSpec.mRetry = running.mAnswer.mLabel.Tokens() == 0;
+    // Resuming a partial answer repeats no work, so it is not a retry.
+    aRequest.mSpec.mRetry = state.mAnswer.mLabel.Tokens() == 0;
     mNode.Meter().Add(Counter::UpstreamRetries);
-    const bool last = ++attempts >= kMaxAttempts && !wait;
-    if (last || mNode.Now() > aRequest.mSpec.mDeadline) {
+    const bool lastAttempt = ++attempts >= kMaxAttempts && !canWait;
+    if (lastAttempt || mNode.Now() > aRequest.mSpec.mDeadline) {
       co_return Error(ErrorKind::UpstreamFailed,
-                      "The engines tried could not finish the answer.",
-                      running.mRan);
+                      "All attempts at engines failed to complete the answer.",
+                      state.mRunState);
     }
   }
 }
 
-// Unique to one attempt, so that a late chunk of an earlier one is told apart.
+// Unique to each attempt, so that a late chunk of an earlier attempt is
+// recognized.
 std::string ModelCalls::AttemptId(const ModelRequest& aRequest) const {
   return aRequest.mCompletion.mRequestId + "#" + mNode.Settings().mNodeId +
          "-" + std::to_string(aRequest.mSpec.mTicket);
@@ -143,11 +146,11 @@
 
 asio::awaitable<Result<std::unique_ptr<HttpStream>>> ModelCalls::OpenStream(
     const ModelRequest& aRequest, const UpstreamEntry& aEngine,
-    const ModelAnswer& aSoFar) {
+    const ModelAnswer& aReceived) {
   EngineCompletion completion = aRequest.mCompletion;
   completion.mRequestId = AttemptId(aRequest);
-  completion.mResumeText = aSoFar.mText;
-  completion.mResumeTokens = aSoFar.mLabel.Tokens();
+  completion.mResumeText = aReceived.mText;
+  completion.mResumeTokens = aReceived.mLabel.Tokens();
   HttpRequest request;
   request.mMethod = "POST";
   request.mTarget = "/v1/completions";
@@ -160,10 +163,10 @@
 
 asio::awaitable<CallOutcome> ModelCalls::Stream(const ModelRequest& aRequest,
                                                 const CallDecision& aDecision,
-                                                Running& aRunning,
+                                                CallState& aState,
                                                 const ChunkSink& aSink) {
-  co_await mNode.OnControl([this, &aRunning, &aDecision] {
-    mPreempt[aDecision.mTicket] = aRunning.mPreempted;
+  co_await mNode.OnControl([this, &aState, &aDecision] {
+    mPreemptFlags[aDecision.mTicket] = aState.mPreempted;
     return true;
   });
   const auto table = mNode.Upstreams().Read();
@@ -172,38 +175,39 @@
     co_return CallOutcome::Refused;
   }
   mNode.Meter().Add(Counter::UpstreamCalls);
-  if (aRunning.mAnswer.mLabel.Tokens() > 0) {
+  if (aState.mAnswer.mLabel.Tokens() > 0) {
     mNode.Meter().Add(Counter::UpstreamResumes);
   }
   Result<std::unique_ptr<HttpStream>> stream =
-      co_await OpenStream(aRequest, *engine, aRunning.mAnswer);
+      co_await OpenStream(aRequest, *engine, aState.mAnswer);
   if (!stream) {
     const bool mayHaveRun = stream.error().Run() != RunState::NotRun;
-    if (mayHaveRun && aRunning.mRan == RunState::NotRun) {
-      aRunning.mRan = RunState::Unknown;
+    if (mayHaveRun && aState.mRunState == RunState::NotRun) {
+      aState.mRunState = RunState::Unknown;
     }
     const bool timedOut = stream.error().Kind() == ErrorKind::Timeout;
     co_return timedOut ? CallOutcome::TimedOut : CallOutcome::Failed;
   }
   const int status = (*stream)->Head().mStatus;
   if (status != kOk) {
-    // Only 503 says that nothing was run.
-    if (status != kBusy && aRunning.mRan == RunState::NotRun) {
-      aRunning.mRan = RunState::Unknown;
+    // Only status 503 guarantees that the engine ran nothing.
+    if (status != kServiceUnavailable && aState.mRunState == RunState::NotRun) {
+      aState.mRunState = RunState::Unknown;
     }
-    co_return status == kBusy ? CallOutcome::Refused : CallOutcome::Failed;
+    co_return status == kServiceUnavailable ? CallOutcome::Refused
+                                            : CallOutcome::Failed;
   }
-  aRunning.mRan = RunState::Run;
-  aRunning.mAnswer.mEngines.push_back(aDecision.mUpstream);
-  co_return co_await ReadStream(**stream, aRequest, aDecision, aRunning, aSink);
+  aState.mRunState = RunState::Run;
+  aState.mAnswer.mEngines.push_back(aDecision.mUpstream);
+  co_return co_await ReadStream(**stream, aRequest, aDecision, aState, aSink);
 }
 
 asio::awaitable<CallOutcome> ModelCalls::ReadStream(
     HttpStream& aStream, const ModelRequest& aRequest,
-    const CallDecision& aDecision, Running& aRunning, const ChunkSink& aSink) {
+    const CallDecision& aDecision, CallState& aState, const ChunkSink& aSink) {
   SseParser events;
   const std::string attempt = AttemptId(aRequest);
-  ModelAnswer& answer = aRunning.mAnswer;
+  ModelAnswer& answer = aState.mAnswer;
   bool first = true;
   while (true) {
     const Result<std::string> part =
@@ -213,14 +217,15 @@
       co_return timedOut ? CallOutcome::TimedOut : CallOutcome::Failed;
     }
     if (part->empty() || events.Feed(*part)) {
-      // An end without the closing event: the answer is not whole.
+      // The stream is malformed, or ended without the closing event: the answer
+      // is incomplete.
       co_return CallOutcome::Failed;
     }
     int64_t tokens = 0;
     while (const std::optional<SseEvent> event = events.Next()) {
       if (event->mData == kSseDone) {
-        aRunning.mWhole = !answer.mFinish.empty();
-        co_return aRunning.mWhole ? CallOutcome::Done : CallOutcome::Failed;
+        aState.mComplete = !answer.mFinish.empty();
+        co_return aState.mComplete ? CallOutcome::Done : CallOutcome::Failed;
       }
       const Result<ModelChunk> chunk = ParseChunk(event->mData);
       if (!chunk) {
@@ -242,7 +247,7 @@
       answer.mFinish = chunk->mFinish;
       tokens += chunk->mTokens;
       if (aSink && !co_await aSink(*chunk)) {
-        aRunning.mReceiverGone = true;
+        aState.mReceiverGone = true;
         co_return CallOutcome::Cancelled;
       }
     }
@@ -255,7 +260,7 @@
                  mNode.Calls().Progress(ticket, tokens, mNode.Now());
                });
     first = false;
-    if (IsSet(aRunning.mPreempted) || IsSet(aRequest.mCancel)) {
+    if (IsSet(aState.mPreempted) || IsSet(aRequest.mCancel)) {
       co_return CallOutcome::Cancelled;
     }
   }
--- a/src/rillwall/model_calls.h
+++ b/src/rillwall/model_calls.h
@@ -1,9 +1,10 @@
 /// \file
-/// One model call from admission to its end, over as many engines as it takes.
+/// Runs model calls from admission to completion, on one or more engines.
 ///
-/// A call is admitted by the dispatcher, streamed from an engine and, when the
-/// stream is cut, times out or is preempted, resumed elsewhere with what was
-/// received. Its label is read off the engines' own chunks.
+/// The dispatcher admits a call and chooses an engine, which streams the
+/// answer. If the stream breaks off, times out or is preempted, the call
+/// resumes on another engine with the text received so far. The weight versions
+/// in the answer's label come from the chunks that the engines send.
 
 #pragma once
 
@@ -20,56 +21,60 @@
 
 namespace rillwall {
 
-/// Set by whoever no longer wants a call's answer.
+/// Set to true to cancel a call whose answer is no longer needed.
 using CancelFlag = std::shared_ptr<std::atomic<bool>>;
 
+/// A model call to run.
 struct ModelRequest {
-  CallSpec mSpec;  ///< the ticket is given by ModelCalls
+  CallSpec mSpec;  ///< ModelCalls assigns the ticket
   EngineCompletion mCompletion;
   CancelFlag mCancel;
 };
 
-/// A whole answer.
+/// An answer, complete once ModelCalls::Run() returns it.
 struct ModelAnswer {
   std::string mText;
   Label mLabel;
   std::string mFinish;
-  std::vector<std::string> mEngines;  ///< in the order of use
-  Millis mFirstToken;                 ///< the instant of the first token
+  std::vector<std::string> mEngines;  ///< ids, in the order of use
+  Millis mFirstToken;                 ///< time of the first token
 };
 
-/// Takes a chunk as it comes. \return false if the receiver has gone
+/// Receives each chunk as it arrives.
+/// \return false if the receiver has disconnected
 using ChunkSink = std::function<asio::awaitable<bool>(const ModelChunk&)>;
 
+/// Runs model calls for callers and group runners.
 class ModelCalls {
  public:
   ModelCalls(Node& aNode, UpstreamKeeper& aUpstreams);
   void Start();
-  /// Runs a call to its end.
-  /// \return the whole answer, or why there is none; RunState tells whether
-  /// an engine has run a part of it
+  /// Runs a call to completion.
+  /// \param aSink receives the chunks; may be empty
+  /// \return the complete answer, or an error whose RunState states whether an
+  /// engine has run a part of the call
   asio::awaitable<Result<ModelAnswer>> Run(ModelRequest aRequest,
                                            ChunkSink aSink);
 
  private:
   using DecisionChannel = asio::experimental::concurrent_channel<void(
       boost::system::error_code, CallDecision)>;
-  struct Running;
+  struct CallState;
 
   asio::awaitable<CallDecision> Admit(CallSpec aSpec);
   asio::awaitable<void> Finish(uint64_t aTicket, CallOutcome aOutcome);
   asio::awaitable<CallOutcome> Stream(const ModelRequest& aRequest,
                                       const CallDecision& aDecision,
-                                      Running& aRunning,
+                                      CallState& aState,
                                       const ChunkSink& aSink);
   asio::awaitable<Result<std::unique_ptr<HttpStream>>> OpenStream(
       const ModelRequest& aRequest, const UpstreamEntry& aEngine,
-      const ModelAnswer& aSoFar);
+      const ModelAnswer& aReceived);
   std::string AttemptId(const ModelRequest& aRequest) const;
   asio::awaitable<CallOutcome> ReadStream(HttpStream& aStream,
                                           const ModelRequest& aRequest,
                                           const CallDecision& aDecision,
-                                          Running& aRunning,
+                                          CallState& aState,
                                           const ChunkSink& aSink);
   asio::awaitable<void> TickLoop();
   void Apply(std::vector<CallDecision> aDecisions);
@@ -77,9 +82,9 @@
   Node& mNode;
   UpstreamKeeper& mUpstreams;
   std::atomic<uint64_t> mNextTicket{1};
-  // On the control strand only.
+  // Used on the control strand only, by ticket.
   std::map<uint64_t, std::shared_ptr<DecisionChannel>> mWaiting;
-  std::map<uint64_t, CancelFlag> mPreempt;
+  std::map<uint64_t, CancelFlag> mPreemptFlags;
 };
 
 }  // namespace rillwall
--- a/src/rillwall/node.cpp
+++ b/src/rillwall/node.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-constexpr Millis kConfirmWithin{10000};
+constexpr Millis kPolicyConfirmationLifetime{10000};
 constexpr Millis kKvTimeout{2000};
 
-// Later lives of a node must have a higher incarnation than earlier ones; the
-// wall clock is good enough, since a wrong one is refuted and raised.
+// A restarted node needs a higher incarnation than before. The wall clock is
+// accurate enough: if it yields a number that is too low, the node learns of
+// the higher one by gossip and raises its own.
 uint64_t FirstIncarnation() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<uint64_t>(
@@ -83,7 +84,7 @@
       mMembership(MakeSelf(mSettings), SeedTexts(mSettings), GossipLimits(),
                   SeedOf(mSettings)),
       mDispatcher(mSettings.mZone, DispatcherLimits(), SeedOf(mSettings)),
-      mLifecycle(kConfirmWithin) {
+      mLifecycle(kPolicyConfirmationLifetime) {
   mPolicies.Publish(std::make_shared<const PolicySet>());
   mUpstreams.Publish(std::make_shared<const UpstreamTable>());
 }
@@ -94,7 +95,7 @@
   const NodePhase phase = mLifecycle.Phase();
   mPhase.store(phase, std::memory_order_release);
   if (phase != NodePhase::Draining) {
-    mTakesWork.store(phase == NodePhase::Ready, std::memory_order_release);
+    mAcceptsWork.store(phase == NodePhase::Ready, std::memory_order_release);
   }
 }
 
@@ -124,7 +125,7 @@
                                  aTimeout);
 }
 
-void Node::BrokenInvariant(const std::string& aWhat) {
+void Node::ReportBrokenInvariant(const std::string& aWhat) {
   mMetrics.Add(Counter::BrokenInvariants);
   Log(Part::Node).Error("Invariant broken: " + aWhat);
 #ifdef RILLWALL_FATAL_INVARIANTS
--- a/src/rillwall/node.h
+++ b/src/rillwall/node.h
@@ -1,10 +1,11 @@
 /// \file
-/// What the parts of one node share: sockets, clocks, snapshots and the
-/// single-threaded decisions.
+/// State shared by the parts of one node: clients, clock, snapshots and the
+/// single-threaded control state.
 ///
 /// Requests run on any thread of the io_context and read the snapshots
-/// (Policies, Upstreams) without a lock. The decisions (Members, Calls) belong
-/// to the control strand: use OnControl to reach them from elsewhere.
+/// (Policies, Upstreams) without a lock. The control state (Members, Calls,
+/// Lifecycle) may be used on the control strand only; OnControl() runs a
+/// function there.
 
 #pragma once
 
@@ -34,17 +35,19 @@
 
 namespace rillwall {
 
-/// \return TLS towards callers, if a certificate is set; they need none
+/// \return TLS settings for callers if a certificate is set. Callers need no
+/// certificate.
 std::optional<TlsSettings> CallerTls(const NodeSettings& aSettings);
-/// \return TLS between nodes, if certificate, key and authority are set; each
-/// side checks the other's certificate
+/// \return TLS settings between nodes if certificate, key and authority are
+/// set. Each side verifies the other's certificate.
 std::optional<TlsSettings> FleetTls(const NodeSettings& aSettings);
 
 using ControlStrand = asio::strand<asio::io_context::executor_type>;
 
+/// Owns the shared state of one node.
 class Node {
  public:
-  /// \param aContext runs everything; outlives the node
+  /// \param aContext runs all work of the node; must outlive it
   Node(asio::io_context& aContext, NodeSettings aSettings);
   ~Node();
 
@@ -66,18 +69,23 @@
   NodeLifecycle& Lifecycle() { return mLifecycle; }
   /// @}
 
-  /// \return the phase as last seen by the control strand, from any thread
+  /// May be called on any thread.
+  /// \return the phase as last published by the control strand
   NodePhase Phase() const { return mPhase.load(std::memory_order_acquire); }
-  /// \return whether requests are taken: while ready, and while draining if it
-  /// was ready before. A node that drains without ever having had its policies
-  /// confirmed must not act on none.
-  bool TakesWork() const { return mTakesWork.load(std::memory_order_acquire); }
-  /// Publishes Life().Phase(); on the control strand.
+  /// \return whether the node accepts requests: while it is ready, and while it
+  /// drains if it was ready before. A node that drains before its policies were
+  /// ever confirmed must not act on an empty policy set.
+  bool AcceptsWork() const {
+    return mAcceptsWork.load(std::memory_order_acquire);
+  }
+  /// Publishes Lifecycle().Phase() for Phase() and AcceptsWork(). Call on the
+  /// control strand only.
   void PublishPhase();
 
-  /// Runs a function on the control strand and returns its result. The caller
-  /// waits, so the function captures by reference only: g++ 12 copies the bits
-  /// of a closure inside a co_await expression and destroys it twice.
+  /// Runs a function on the control strand and returns its result. The function
+  /// must capture by reference, which is safe because the caller waits: g++ 12
+  /// copies the bits of a closure inside a co_await expression and destroys it
+  /// twice.
   template <class Function>
   asio::awaitable<std::invoke_result_t<Function>> OnControl(
       Function aFunction) {
@@ -88,26 +96,29 @@
         asio::use_awaitable);
   }
 
-  /// Starts a coroutine on the control strand that nobody waits for.
+  /// Starts a detached coroutine on the control strand.
   void SpawnControl(asio::awaitable<void> aRun);
-  /// Starts a coroutine on the io_context that nobody waits for.
+  /// Starts a detached coroutine on a new strand of the io_context.
   void Spawn(asio::awaitable<void> aRun);
-  /// Waits; returns early with an error code only at shutdown.
+  /// Waits for aSpan.
   static asio::awaitable<void> Sleep(Millis aSpan);
 
-  /// Who answers calls of peers; also used when a duty is this node's own.
+  /// Sets the handler of peer calls. CallPeer() uses it too when the target is
+  /// this node.
   void SetPeerHandler(PeerHandler aHandler) {
     mPeerHandler = std::move(aHandler);
   }
-  /// Calls a member; a call to this node itself takes no socket.
+  /// Calls a member of the fleet. A call to this node itself goes to the peer
+  /// handler without a socket.
   asio::awaitable<Result<wire::PeerReply>> CallPeer(std::string aId,
                                                     std::string aRpc,
                                                     wire::PeerRequest aRequest,
                                                     Millis aTimeout);
 
-  /// Counts, logs and, in test builds, ends the process.
+  /// Counts and logs a broken invariant, and aborts the process in builds with
+  /// RILLWALL_FATAL_INVARIANTS.
   /// \param aWhat the invariant and the values that break it
-  void BrokenInvariant(const std::string& aWhat);
+  void ReportBrokenInvariant(const std::string& aWhat);
 
  private:
   template <class Function>
@@ -130,7 +141,7 @@
   Dispatcher mDispatcher;
   NodeLifecycle mLifecycle;
   std::atomic<NodePhase> mPhase{NodePhase::Starting};
-  std::atomic<bool> mTakesWork{false};
+  std::atomic<bool> mAcceptsWork{false};
   PeerHandler mPeerHandler;
 };
 
--- a/src/rillwall/peer_service.cpp
+++ b/src/rillwall/peer_service.cpp
@@ -57,7 +57,7 @@
   return kKinds;
 }
 
-// Identities are checked here, once, so that the parts may rely on them.
+// Validates the step id of the request once, so that the handlers need not.
 asio::awaitable<Result<wire::PeerReply>> PeerService::Handle(
     wire::PeerRequest aRequest) {
   for (const Kind& kind : Kinds()) {
@@ -71,7 +71,7 @@
     co_return co_await (this->*kind.mHandler)(std::move(aRequest));
   }
   co_return Error(ErrorKind::BadRequest,
-                  "The peer's call is of no kind known here.");
+                  "The kind of the peer's call is unknown to this node.");
 }
 
 PeerService::Reply PeerService::Exchange(wire::PeerRequest aRequest) {
@@ -110,7 +110,7 @@
   co_return reply;
 }
 
-// Said to all nodes: the owner closes its book, runners drop what they hold.
+// Sent to all nodes: the owner discards the step, runners drop its groups.
 PeerService::Reply PeerService::CloseStep(wire::PeerRequest aRequest) {
   const StepId step = FromWire(aRequest.close_step().id()).value();
   wire::ReleaseGroups release;
@@ -193,7 +193,7 @@
       [this, &request = aRequest]() -> Result<wire::PeerReply> {
         wire::PeerReply reply;
         *reply.mutable_policy() =
-            mPolicies.Answer(request.ask_policy(), request.from());
+            mPolicies.HandleAskPolicy(request.ask_policy(), request.from());
         return reply;
       });
 }
@@ -205,10 +205,11 @@
         const TrainerRule* rule =
             policies->Rules().Trainer(request.ask_room().trainer());
         wire::PeerReply reply;
-        // A node that is leaving finishes what it has and starts nothing.
-        const bool takes =
+        // A draining node finishes its groups and accepts no new ones.
+        const bool accepts =
             rule != nullptr && mNode.Lifecycle().Phase() != NodePhase::Draining;
-        reply.mutable_room()->set_samples(takes ? mRunner.Room(*rule) : 0);
+        reply.mutable_room()->set_samples(accepts ? mRunner.FreeCapacity(*rule)
+                                                  : 0);
         return reply;
       });
 }
@@ -217,7 +218,7 @@
   co_return co_await mNode.OnControl(
       [this, &request = aRequest]() -> Result<wire::PeerReply> {
         mRunner.TakeOver(request.hand_over());
-        mSteps.HandedOver(request.hand_over());
+        mSteps.RecordHandOver(request.hand_over());
         return EmptyReply();
       });
 }
--- a/src/rillwall/peer_service.h
+++ b/src/rillwall/peer_service.h
@@ -1,5 +1,5 @@
 /// \file
-/// Answers the calls of peers by handing each to the part that it concerns.
+/// Dispatches calls of peers to the parts of the node that handle them.
 
 #pragma once
 
@@ -11,11 +11,12 @@
 
 namespace rillwall {
 
+/// Handles the calls that other nodes make through PeerServer.
 class PeerService {
  public:
   PeerService(Node& aNode, GossipLoop& aGossip, PolicyKeeper& aPolicies,
               StepOwner& aSteps, GroupRunner& aRunner);
-  /// Answers one call; runs on any thread.
+  /// Handles one call. May be called on any thread.
   asio::awaitable<Result<wire::PeerReply>> Handle(wire::PeerRequest aRequest);
 
  private:
@@ -34,7 +35,8 @@
   Reply AskRoom(wire::PeerRequest aRequest);
   Reply HandOver(wire::PeerRequest aRequest);
 
-  /// One kind of call: what answers it and which step it names.
+  /// A kind of call: its handler, and the accessor of the step id in the
+  /// request (which returns null for calls without a step).
   struct Kind {
     wire::PeerRequest::KindCase mCase;
     Reply (PeerService::*mHandler)(wire::PeerRequest);
--- a/src/rillwall/policy_keeper.cpp
+++ b/src/rillwall/policy_keeper.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-constexpr const char* kKey = "rillwall/policies";
-constexpr const char* kFact = "policy";
-constexpr Millis kStartPeriod{250};
+constexpr const char* kPolicyKey = "rillwall/policies";
+constexpr const char* kPolicyFact = "policy";
+constexpr Millis kUnconfirmedPeriod{250};
 constexpr Millis kConfirmPeriod{3000};
 constexpr Millis kPeerTimeout{1000};
 constexpr Millis kInForceWait{3000};
-constexpr Millis kInForcePoll{100};
+constexpr Millis kInForcePollPeriod{100};
 constexpr size_t kWatchersPerZone = 2;
 constexpr int kWriteAttempts = 5;
-constexpr int kSettleAttempts = 20;
-constexpr Millis kSettlePause{250};
+constexpr int kResolveAttempts = 20;
+constexpr Millis kResolvePause{250};
 
-Error LostRace(const PolicyDocument& aCurrent, uint64_t aRevision) {
+Error ConflictError(const PolicyDocument& aCurrent, uint64_t aRevision) {
   const PolicyChange* winner = aCurrent.FindRevision(aRevision);
   std::string who = "another operator";
   if (winner != nullptr) {
@@ -30,7 +30,7 @@
   return Error(ErrorKind::Conflict,
                "The policies are at revision " +
                    std::to_string(aCurrent.mSet.Revision()) + "; " + who +
-                   " first. Read them, and put your change again with "
+                   " first. Read the policies and repeat your change with "
                    "that revision.");
 }
 
@@ -42,7 +42,7 @@
 void PolicyKeeper::Start() {
   mGossip.OnFact([this](const Fact& aFact) {
     const bool newer = aFact.mRevision > mDocument.mSet.Revision();
-    if (aFact.mKey == kFact && newer) {
+    if (aFact.mKey == kPolicyFact && newer) {
       mNode.SpawnControl(FetchFromPeers());
     }
   });
@@ -62,16 +62,16 @@
                                     asio::use_awaitable);
 }
 
-wire::PolicyBody PolicyKeeper::Answer(const wire::AskPolicy& aAsk,
-                                      const std::string& aFrom) {
+wire::PolicyBody PolicyKeeper::HandleAskPolicy(const wire::AskPolicy& aRequest,
+                                               const std::string& aFrom) {
   wire::PolicyBody body;
   body.set_revision(mDocument.mSet.Revision());
-  body.set_known(mKnown);
-  if (!aAsk.revision_only()) {
+  body.set_known(mConfirmed);
+  if (!aRequest.revision_only()) {
     body.set_body(mDocument.Encode());
   }
-  // The asker may know of a newer one than we do.
-  if (aAsk.known() > mDocument.mSet.Revision()) {
+  // The peer may know of a newer revision than this node does.
+  if (aRequest.known() > mDocument.mSet.Revision()) {
     Log(Part::Policy).Info("Node " + aFrom + " has a newer policy revision.");
     mNode.SpawnControl(FetchFromPeers());
   }
@@ -79,7 +79,7 @@
 }
 
 asio::awaitable<Result<KvEntry>> PolicyKeeper::ReadKey() {
-  const Result<KvRange> range = co_await mNode.Kv().Range(kKey, false);
+  const Result<KvRange> range = co_await mNode.Kv().Range(kPolicyKey, false);
   if (!range) {
     co_return range.error();
   }
@@ -111,35 +111,36 @@
     }
     const uint64_t revision = current.mSet.Revision();
     if (aEdit.mBasedOn && *aEdit.mBasedOn != revision) {
-      co_return LostRace(current, *aEdit.mBasedOn + 1);
+      co_return ConflictError(current, *aEdit.mBasedOn + 1);
     }
     Result<PolicyDocument> next = current.With(change, aEdit.mProgram);
     if (!next) {
       co_return next.error();
     }
     const Result<KvSwap> swap = co_await mNode.Kv().CompareAndSwap(
-        kKey, entry->mModRevision, next->Encode(), 0);
+        kPolicyKey, entry->mModRevision, next->Encode(), 0);
     if (swap && swap->mApplied) {
       Adopt(*next);
       co_return std::move(*next);
     }
     if (!swap && swap.error().Kind() == ErrorKind::KvUncertain) {
-      co_return co_await Settle(change.mNonce, std::move(*next));
+      co_return co_await ResolveUncertainWrite(change.mNonce, std::move(*next));
     }
     if (!swap) {
       co_return swap.error();
     }
-    // Another operator was first. Without a stated revision the edit stands on
-    // whatever is in force, so it is made again on that.
+    // Another change was accepted first. An edit without a stated revision
+    // applies to whatever is in force, so it is repeated on the new document.
   }
   co_return Error(ErrorKind::Conflict,
-                  "Other operators kept changing the policies meanwhile.");
+                  "Other operators changed the policies during each attempt.");
 }
 
-// The answer of the write was lost: what stands there now tells.
-asio::awaitable<Result<PolicyDocument>> PolicyKeeper::Settle(
+// The response to the write was lost. Reads the key until it shows whether the
+// write was applied.
+asio::awaitable<Result<PolicyDocument>> PolicyKeeper::ResolveUncertainWrite(
     std::string aNonce, PolicyDocument aNext) {
-  for (int attempt = 0; attempt < kSettleAttempts; ++attempt) {
+  for (int attempt = 0; attempt < kResolveAttempts; ++attempt) {
     const Result<KvEntry> entry = co_await ReadKey();
     if (entry) {
       Result<PolicyDocument> current =
@@ -154,12 +155,13 @@
       }
       const uint64_t revision = aNext.mSet.Revision();
       if (current->mSet.Revision() >= revision) {
-        co_return LostRace(*current, revision);
+        co_return ConflictError(*current, revision);
       }
-      // Not there yet: it may still arrive, so it must not be called failed
-      // before it has been overtaken or the attempts are used up.
+      // The write may still be applied later. It is not reported as failed
+      // until another change has replaced it; when the attempts are used up,
+      // its outcome is reported as uncertain.
     }
-    co_await Node::Sleep(kSettlePause);
+    co_await Node::Sleep(kResolvePause);
   }
   co_return Error(ErrorKind::KvUncertain,
                   "The change may or may not have been accepted.");
@@ -182,21 +184,21 @@
   accepted.mNodes = pending.size() + 1;
   const Millis start = mNode.Now();
   while (!pending.empty() && mNode.Now() - start < kInForceWait) {
-    std::vector<asio::awaitable<bool>> asks;
+    std::vector<asio::awaitable<bool>> requests;
     for (const Member& member : pending) {
-      asks.push_back(HasRevision(member, aRevision));
+      requests.push_back(HasRevision(member, aRevision));
     }
     const std::vector<bool> has =
-        co_await RunAll(mNode.Control(), std::move(asks));
-    std::vector<Member> still;
+        co_await RunAll(mNode.Control(), std::move(requests));
+    std::vector<Member> stillPending;
     for (size_t i = 0; i < pending.size(); ++i) {
       if (!has[i]) {
-        still.push_back(pending[i]);
+        stillPending.push_back(pending[i]);
       }
     }
-    pending = std::move(still);
+    pending = std::move(stillPending);
     if (!pending.empty()) {
-      co_await Node::Sleep(kInForcePoll);
+      co_await Node::Sleep(kInForcePollPeriod);
     }
   }
   mNode.Meter().Measure(Timing::PolicySpread, mNode.Now() - start);
@@ -253,15 +255,16 @@
   co_return true;
 }
 
-// A gossiped revision is newer: ask peers until one has it.
+// Asks random peers for the policies until this node has the newest revision
+// that gossip has announced.
 asio::awaitable<void> PolicyKeeper::FetchFromPeers() {
   if (mFetching) {
     co_return;
   }
   mFetching = true;
-  constexpr int kRounds = 10;
-  for (int round = 0; round < kRounds; ++round) {
-    const Fact* fact = mNode.Members().FindFact(kFact);
+  constexpr int kMaxRounds = 10;
+  for (int round = 0; round < kMaxRounds; ++round) {
+    const Fact* fact = mNode.Members().FindFact(kPolicyFact);
     if (fact == nullptr || fact->mRevision <= mDocument.mSet.Revision()) {
       break;
     }
@@ -278,7 +281,7 @@
   while (true) {
     bool confirmed = false;
     const std::vector<Member> peers = OtherMembers();
-    if (mKnown && !peers.empty()) {
+    if (mConfirmed && !peers.empty()) {
       confirmed = co_await ConfirmWithPeer(peers[mRandom() % peers.size()]);
     }
     if (!confirmed) {
@@ -289,7 +292,7 @@
     }
     mNode.Lifecycle().Tick(mNode.Now());
     mNode.PublishPhase();
-    co_await Node::Sleep(confirmed ? kConfirmPeriod : kStartPeriod);
+    co_await Node::Sleep(confirmed ? kConfirmPeriod : kUnconfirmedPeriod);
   }
 }
 
@@ -311,14 +314,14 @@
     if (!IsWatcher() || !co_await ConfirmWithKv()) {
       continue;
     }
-    // A change between the read above and the watch is seen by the next
-    // confirmation, so the watch may start at the present.
+    // ConfirmLoop() finds a change that falls between the read above and the
+    // start of the watch, so the watch may start at the present revision.
     co_await mNode.Kv().Watch(
-        kKey, 0, [this](const std::vector<KvEvent>& aEvents) {
+        kPolicyKey, 0, [this](const std::vector<KvEvent>& aEvents) {
           for (const KvEvent& event : aEvents) {
             Result<PolicyDocument> document =
                 PolicyDocument::Decode(event.mEntry.mValue);
-            if (document && event.mEntry.mKey == kKey) {
+            if (document && event.mEntry.mKey == kPolicyKey) {
               asio::post(mNode.Control(),
                          [this, made = std::move(*document)] { Adopt(made); });
             }
@@ -343,13 +346,13 @@
   }
   mDocument = std::move(aDocument);
   mNode.Policies().Publish(std::make_shared<const PolicySet>(mDocument.mSet));
-  mGossip.SetFact({kFact, revision, ""});
+  mGossip.SetFact({kPolicyFact, revision, ""});
   Log(Part::Policy)
       .Info("Policy revision " + std::to_string(revision) + " is in force.");
 }
 
 void PolicyKeeper::Confirm() {
-  mKnown = true;
+  mConfirmed = true;
   mNode.Lifecycle().PolicyConfirmed(mNode.Now());
   mNode.PublishPhase();
 }
--- a/src/rillwall/policy_keeper.h
+++ b/src/rillwall/policy_keeper.h
@@ -1,11 +1,11 @@
 /// \file
-/// Keeps this node's policies the newest accepted ones, and takes changes.
+/// Keeps the policies of this node up to date, and accepts changes to them.
 ///
-/// A change is accepted by one compare-and-swap on the one key that holds all
-/// policies. The revision spreads by gossip; nodes fetch the body from a peer.
-/// A few nodes of each zone watch the key. A node never goes back to an older
-/// revision; after a start it takes no work until the key-value service or a
-/// peer has confirmed what it knows.
+/// A single key in the key-value service holds all policies. A compare-and-swap
+/// on this key accepts a change. The new revision spreads by gossip, and nodes
+/// fetch the document from a peer. A few nodes of each zone watch the key. A
+/// node never goes back to an older revision. After its start it accepts no
+/// work until the key-value service or a peer has confirmed its policies.
 
 #pragma once
 
@@ -19,34 +19,40 @@
 
 namespace rillwall {
 
-/// What an operator is told of an accepted change.
+/// Result of an accepted change.
 struct PolicyAccepted {
   uint64_t mRevision = 0;
-  size_t mNodes = 0;                  ///< live nodes
-  std::vector<std::string> mMissing;  ///< not known to have it in force yet
+  size_t mNodes = 0;                  ///< number of live nodes
+  std::vector<std::string> mMissing;  ///< ids of nodes not yet confirmed
 };
 
-/// A change as an operator asks for it.
+/// A change that an operator requests.
 struct PolicyEdit {
   std::string mName;
   std::string mProgram;
   bool mRemove = false;
   std::string mAuthor;
-  std::optional<uint64_t> mBasedOn;  ///< refuse if the set has moved on
+  std::optional<uint64_t> mBasedOn;  ///< refuse if the set has another revision
 };
 
+/// Synchronizes the policies of this node with the fleet.
 class PolicyKeeper {
  public:
   PolicyKeeper(Node& aNode, GossipLoop& aGossip);
   void Start();
 
-  /// Makes a change, or says who made another one first.
+  /// Writes a change, and waits a few seconds until it is in force on all live
+  /// nodes.
+  /// \return the result; Conflict, naming the author, if another change was
+  /// accepted first; KvUncertain if the outcome of the write is unknown
   asio::awaitable<Result<PolicyAccepted>> Change(PolicyEdit aEdit);
-  /// \return the document in force; on the control strand
+  /// Call on the control strand only.
+  /// \return the document in force
   const PolicyDocument& Document() const { return mDocument; }
-  /// Answers a peer that asks for the policies; on the control strand.
-  wire::PolicyBody Answer(const wire::AskPolicy& aAsk,
-                          const std::string& aFrom);
+  /// Handles a peer's request for the policies. Call on the control strand
+  /// only.
+  wire::PolicyBody HandleAskPolicy(const wire::AskPolicy& aRequest,
+                                   const std::string& aFrom);
 
  private:
   asio::awaitable<void> ConfirmLoop();
@@ -56,8 +62,8 @@
   asio::awaitable<void> FetchFromPeers();
   asio::awaitable<Result<KvEntry>> ReadKey();
   asio::awaitable<Result<PolicyDocument>> Write(PolicyEdit aEdit);
-  asio::awaitable<Result<PolicyDocument>> Settle(std::string aNonce,
-                                                 PolicyDocument aNext);
+  asio::awaitable<Result<PolicyDocument>> ResolveUncertainWrite(
+      std::string aNonce, PolicyDocument aNext);
   asio::awaitable<PolicyAccepted> AwaitInForce(uint64_t aRevision);
   asio::awaitable<bool> HasRevision(Member aPeer, uint64_t aRevision);
   bool IsWatcher();
@@ -68,7 +74,7 @@
   Node& mNode;
   GossipLoop& mGossip;
   PolicyDocument mDocument;
-  bool mKnown = false;  ///< the service or a peer has confirmed it
+  bool mConfirmed = false;  ///< by the key-value service or a peer
   bool mFetching = false;
   std::mt19937_64 mRandom;
 };
--- a/src/rillwall/serve.cpp
+++ b/src/rillwall/serve.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr Millis kBalancerGrace{1500};
-constexpr Millis kDrainPoll{50};
+constexpr Millis kDrainPollPeriod{50};
 constexpr Millis kHandOverTimeout{5000};
-constexpr Millis kLinger{500};
+constexpr Millis kShutdownGrace{500};
 constexpr Millis kNotReadyRetry{1000};
 constexpr int64_t kMillisPerSecond = 1000;
 
@@ -112,7 +112,7 @@
   return HttpResponse::Json(phase == NodePhase::Ready ? 200 : 503, body);
 }
 
-asio::awaitable<HttpResponse> Server::HandleWhole(
+asio::awaitable<HttpResponse> Server::RouteRequest(
     const HttpRequest& aRequest, std::vector<std::string> aParts) {
   const std::string first = aParts.empty() ? "" : aParts[0];
   if (first == "health") {
@@ -131,7 +131,7 @@
     aParts.erase(aParts.begin());
     co_return co_await mAdminApi.Handle(aRequest, std::move(aParts));
   }
-  if (!mNode.TakesWork()) {
+  if (!mNode.AcceptsWork()) {
     co_return ErrorResponse(Error(ErrorKind::Unavailable,
                                   "This node has no confirmed policies yet.")
                                 .After(kNotReadyRetry));
@@ -141,8 +141,8 @@
     co_return co_await mTrainerApi.Handle(aRequest, std::move(aParts));
   }
   co_return ErrorResponse(Error(ErrorKind::NotFound,
-                                "There is no such path; docs/API.md lists "
-                                "them."));
+                                "Unknown path; docs/API.md lists the "
+                                "paths of the API."));
 }
 
 asio::awaitable<void> Server::Handle(const HttpRequest& aRequest,
@@ -150,20 +150,20 @@
   const std::string id = RequestId(aRequest);
   const std::string_view path = aRequest.Path();
   const bool chat = path == "/v1/chat/completions";
-  const bool takes = mNode.TakesWork();
+  const bool accepts = mNode.AcceptsWork();
   const bool post = aRequest.mMethod == "POST";
-  if ((chat || path == "/v1/completions") && takes && post) {
+  if ((chat || path == "/v1/completions") && accepts && post) {
     co_await mCallerApi.Handle(aRequest, aExchange, chat, id);
     co_return;
   }
-  if (path.starts_with("/services/") && takes) {
+  if (path.starts_with("/services/") && accepts) {
     HttpResponse response = co_await mServiceApi.Handle(aRequest, id);
     co_await aExchange.Respond(std::move(response));
     co_return;
   }
-  HttpResponse response = co_await HandleWhole(aRequest, SplitPath(path));
-  // Answers made by the node itself ran nothing at an upstream.
-  Mark(response, RunState::NotRun, id);
+  HttpResponse response = co_await RouteRequest(aRequest, SplitPath(path));
+  // Responses that the node itself creates ran nothing at an upstream.
+  AddRunHeaders(response, RunState::NotRun, id);
   co_await aExchange.Respond(std::move(response));
 }
 
@@ -176,40 +176,41 @@
   asio::post(mNode.Control(), [this] {
     if (!mDraining) {
       mDraining = true;
-      mNode.SpawnControl(DrainRun());
+      mNode.SpawnControl(RunDrain());
     }
   });
 }
 
-asio::awaitable<void> Server::DrainRun() {
+asio::awaitable<void> Server::RunDrain() {
   Log(Part::Node).Info("Drains.");
   mNode.Lifecycle().Drain();
   mNode.PublishPhase();
   mGossip.Leave();
-  // The balancer needs a moment to see that this node is not ready.
+  // Gives the load balancer time to notice that this node is not ready.
   co_await Node::Sleep(kBalancerGrace);
   mHttpServer.Drain();
   const Millis end =
       mNode.Now() + Millis(mNode.Settings().mDrainSeconds * kMillisPerSecond);
   while (mNode.Now() < end &&
          (mHttpServer.Active() > 0 || mRunner.Running() > 0)) {
-    co_await Node::Sleep(kDrainPoll);
+    co_await Node::Sleep(kDrainPollPeriod);
   }
-  co_await HandOverHeld();
+  co_await HandOverHeldGroups();
   mNode.Lifecycle().Drained();
   mNode.PublishPhase();
   Log(Part::Node).Info("Drained.");
-  // Peers may still fetch what they have just been told of.
-  co_await Node::Sleep(kLinger);
+  // Peers may still request data that this node has just announced to them.
+  co_await Node::Sleep(kShutdownGrace);
   mHttpServer.Stop();
   mPeerServer.Stop();
   mGossip.Stop();
   mNode.Context().stop();
 }
 
-// A step's owner takes what this node holds of it; it knows the book.
-asio::awaitable<void> Server::HandOverHeld() {
-  for (wire::HandOver& part : mRunner.TakeHeld()) {
+// Sends the held groups of each step to the step's owner, which tracks the
+// state of the step.
+asio::awaitable<void> Server::HandOverHeldGroups() {
+  for (wire::HandOver& part : mRunner.ExtractHeldGroups()) {
     const StepId step = FromWire(part.id()).value();
     const std::vector<Member> owners =
         DutyOwners(mNode.Members().Live(), step.Duty(), 1);
--- a/src/rillwall/serve.h
+++ b/src/rillwall/serve.h
@@ -1,5 +1,5 @@
 /// \file
-/// One node's process: wires the parts, listens, drains and ends.
+/// The process of one node: connects the parts, listens, drains and exits.
 
 #pragma once
 
@@ -21,25 +21,28 @@
 
 namespace rillwall {
 
+/// Owns all parts of a node.
 class Server {
  public:
   Server(asio::io_context& aContext, NodeSettings aSettings);
-  /// Takes the sockets and starts all parts.
-  /// \return why it could not, if it could not
+  /// Binds the sockets and starts all parts.
+  /// \return the error if a socket cannot be bound
   std::optional<Error> Start();
-  /// Leaves the fleet, lets everything in flight end, and stops the context.
+  /// Starts leaving the fleet: waits for the work in flight up to the drain
+  /// time, hands held groups over and stops the context. Further calls do
+  /// nothing.
   void Drain();
-  /// Writes the state to the log.
+  /// Writes the state of the process to the log.
   void LogDump();
 
  private:
   asio::awaitable<void> Handle(const HttpRequest& aRequest,
                                HttpExchange& aExchange);
-  asio::awaitable<HttpResponse> HandleWhole(const HttpRequest& aRequest,
-                                            std::vector<std::string> aParts);
+  asio::awaitable<HttpResponse> RouteRequest(const HttpRequest& aRequest,
+                                             std::vector<std::string> aParts);
   HttpResponse Ready() const;
-  asio::awaitable<void> DrainRun();
-  asio::awaitable<void> HandOverHeld();
+  asio::awaitable<void> RunDrain();
+  asio::awaitable<void> HandOverHeldGroups();
 
   Node mNode;
   GossipLoop mGossip;
@@ -60,7 +63,7 @@
 };
 
 /// Runs a node until it has drained.
-/// \return the process's exit code
+/// \return the exit code of the process
 int Serve(const NodeSettings& aSettings);
 
 }  // namespace rillwall
--- a/src/rillwall/service_api.cpp
+++ b/src/rillwall/service_api.cpp
@@ -7,33 +7,34 @@
 namespace {
 
 constexpr const char* kHouseHeader = "Rillwall-House";
-constexpr const char* kKeyHeader = "Idempotency-Key";
+constexpr const char* kIdempotencyKeyHeader = "Idempotency-Key";
 constexpr const char* kDefaultHouse = "anonymous";
 constexpr std::string_view kPrefix = "/services/";
 constexpr Millis kDefaultTimeout{5000};
-constexpr Millis kRepeatPause{20};
-constexpr int kAttempts = 3;
+constexpr Millis kRetryPause{20};
+constexpr int kMaxAttempts = 3;
 constexpr int kUnavailable = 503;
 
-// GET and HEAD change nothing by definition; the policy cannot say otherwise
-// of another method unless it names it.
-bool Repeatable(const HttpRequest& aRequest) {
+// GET and HEAD change nothing by definition. Any other method may change state
+// even if no policy declares it non-idempotent.
+bool IsSafeMethod(const HttpRequest& aRequest) {
   return aRequest.mMethod == "GET" || aRequest.mMethod == "HEAD";
 }
 
-std::string Stated(const HttpRequest& aRequest, const char* aName,
-                   const char* aDefault) {
+std::string HeaderOr(const HttpRequest& aRequest, const char* aName,
+                     const char* aDefault) {
   const std::string* value = aRequest.Find(aName);
   return value == nullptr ? aDefault : *value;
 }
 
-// What concerns rillwall and its callers only stays here.
-bool IsOwnHeader(const HttpHeader& aHeader) {
-  constexpr const char* kOwn[] = {
+// Headers meant for rillwall itself or for the caller's connection. They are
+// not forwarded to the upstream.
+bool IsNotForwarded(const HttpHeader& aHeader) {
+  constexpr const char* kNames[] = {
       "Authorization",    "Rillwall-House", "Host",
       "Connection",       "Content-Length", "Expect",
       "Transfer-Encoding"};
-  return std::ranges::any_of(kOwn, [&](const char* aName) {
+  return std::ranges::any_of(kNames, [&](const char* aName) {
     const std::vector<HttpHeader> one = {aHeader};
     return FindHeader(one, aName) != nullptr;
   });
@@ -50,7 +51,7 @@
   const Result<Identity> who = Identify(*policies, aRequest, "caller");
   if (!who) {
     HttpResponse refused = ErrorResponse(who.error());
-    Mark(refused, RunState::NotRun, aRequestId);
+    AddRunHeaders(refused, RunState::NotRun, aRequestId);
     co_return refused;
   }
   std::string_view target = aRequest.mTarget;
@@ -58,9 +59,10 @@
   const size_t slash = std::min(target.find_first_of("/?"), target.size());
   ServiceCall call;
   call.mService = std::string(target.substr(0, slash));
-  call.mHouse =
-      who->mOpen ? Stated(aRequest, kHouseHeader, kDefaultHouse) : who->mName;
-  call.mKey = Stated(aRequest, kKeyHeader, "");
+  call.mHouse = who->mUnauthenticated
+                    ? HeaderOr(aRequest, kHouseHeader, kDefaultHouse)
+                    : who->mName;
+  call.mKey = HeaderOr(aRequest, kIdempotencyKeyHeader, "");
   call.mRequestId = aRequestId;
   call.mRequest.mMethod = aRequest.mMethod;
   call.mRequest.mTarget = std::string(target.substr(slash));
@@ -69,43 +71,44 @@
   }
   call.mRequest.mBody = aRequest.mBody;
   call.mRequest.mHeaders = aRequest.mHeaders;
-  std::erase_if(call.mRequest.mHeaders, IsOwnHeader);
+  std::erase_if(call.mRequest.mHeaders, IsNotForwarded);
   const ServiceRule* rule = policies->Rules().Service(call.mService);
   call.mTimeout = rule == nullptr ? kDefaultTimeout : rule->mTimeout;
-  const bool once = policies->Rules().NonIdempotent(
+  const bool atMostOnce = policies->Rules().NonIdempotent(
       call.mService, call.mRequest.mMethod, call.mRequest.Path());
-  if (once) {
+  if (atMostOnce) {
     co_return co_await mCharges.Run(std::move(call));
   }
   const Millis start = mNode.Now();
   HttpResponse response =
-      co_await Relay(call, Repeatable(call.mRequest) || !call.mKey.empty());
+      co_await Relay(call, IsSafeMethod(call.mRequest) || !call.mKey.empty());
   mNode.Meter().Measure(Timing::ServiceCall, mNode.Now() - start);
   co_return response;
 }
 
 asio::awaitable<HttpResponse> ServiceApi::Relay(const ServiceCall& aCall,
-                                                bool aRepeat) {
+                                                bool aRetryable) {
   bool sentBefore = false;
   for (int attempt = 1;; ++attempt) {
     Result<HttpResponse> response = co_await SendOnce(mNode, aCall);
     const bool good = response && response->mStatus != kUnavailable;
     const bool sent = response || response.error().Run() != RunState::NotRun;
     sentBefore = sentBefore || sent;
-    // What reached no upstream may always be tried again; what may have run
-    // only if it is repeatable.
-    const bool again = !good && (!sent || aRepeat) && attempt < kAttempts;
-    if (!again) {
-      const RunState doubt = sentBefore ? RunState::Unknown : RunState::NotRun;
-      const RunState ran = good ? RunState::Run : doubt;
+    // A call that reached no upstream can always be retried, one that may have
+    // run only if a retry is safe.
+    const bool retry = !good && (!sent || aRetryable) && attempt < kMaxAttempts;
+    if (!retry) {
+      const RunState failedState =
+          sentBefore ? RunState::Unknown : RunState::NotRun;
+      const RunState ran = good ? RunState::Run : failedState;
       HttpResponse answer = response
                                 ? RelayedResponse(std::move(*response))
                                 : ErrorResponse(response.error().With(ran));
-      Mark(answer, ran, aCall.mRequestId);
+      AddRunHeaders(answer, ran, aCall.mRequestId);
       co_return answer;
     }
     mNode.Meter().Add(Counter::UpstreamRetries);
-    co_await Node::Sleep(kRepeatPause * attempt);
+    co_await Node::Sleep(kRetryPause * attempt);
   }
 }
 
--- a/src/rillwall/service_api.h
+++ b/src/rillwall/service_api.h
@@ -1,9 +1,9 @@
 /// \file
-/// Calls of plain services: relayed to an upstream, at most once where the
-/// policy says so.
+/// HTTP API for calls of plain services.
 ///
-/// The path of an idempotent call takes no lock and reads only snapshots and
-/// atomics.
+/// A call is relayed to an upstream. Calls that a policy declares
+/// non-idempotent run at most once. Choosing the upstream of an idempotent call
+/// reads only snapshots and atomics and takes no lock.
 
 #pragma once
 
@@ -15,15 +15,17 @@
 
 namespace rillwall {
 
+/// Handles the requests under /services.
 class ServiceApi {
  public:
   explicit ServiceApi(Node& aNode);
-  /// Answers a request whose path is /services/{service}/...
+  /// Handles a request whose path is /services/{service}/...
   asio::awaitable<HttpResponse> Handle(const HttpRequest& aRequest,
                                        std::string aRequestId);
 
  private:
-  asio::awaitable<HttpResponse> Relay(const ServiceCall& aCall, bool aRepeat);
+  asio::awaitable<HttpResponse> Relay(const ServiceCall& aCall,
+                                      bool aRetryable);
 
   Node& mNode;
   ChargeRunner mCharges;
--- a/src/rillwall/service_call.cpp
+++ b/src/rillwall/service_call.cpp
@@ -11,7 +11,8 @@
 constexpr int kServerError = 500;
 constexpr Millis kNoUpstreamRetry{1000};
 
-// Headers of one connection, or that the message's own framing gives anew.
+// Hop-by-hop headers, and headers that the framing of the relayed message sets
+// again.
 constexpr std::array<const char*, 8> kHopHeaders = {
     "Connection", "Keep-Alive",     "Transfer-Encoding", "TE",
     "Upgrade",    "Content-Length", "Trailer",           "Proxy-Connection"};
@@ -41,11 +42,11 @@
         "No upstream of the service '" + aCall.mService + "' takes calls now.")
         .After(kNoUpstreamRetry);
   }
-  UpstreamUse use(upstream->mLoad);
+  InFlightCall inFlight(upstream->mLoad);
   Result<HttpResponse> response = co_await aNode.Http().Send(
       upstream->mEndpoint, aCall.mRequest, aCall.mTimeout);
   const bool failed = !response || response->mStatus >= kServerError;
-  use.End(failed, aNode.Now());
+  inFlight.End(failed, aNode.Now());
   co_return response;
 }
 
--- a/src/rillwall/service_call.h
+++ b/src/rillwall/service_call.h
@@ -1,5 +1,5 @@
 /// \file
-/// One call of a plain service, and sending it to an upstream.
+/// A call of a plain service, and functions that send it to an upstream.
 
 #pragma once
 
@@ -10,23 +10,23 @@
 
 namespace rillwall {
 
-/// A caller's call, without what concerns rillwall only.
+/// A caller's call, without the headers that are meant for rillwall only.
 struct ServiceCall {
-  std::string mHouse;
+  std::string mHouse;  ///< organisation of the caller
   std::string mService;
   std::string mKey;      ///< Idempotency-Key; empty if none was given
-  HttpRequest mRequest;  ///< as the upstream gets it
+  HttpRequest mRequest;  ///< as it is sent to the upstream
   Millis mTimeout;
   std::string mRequestId;
 };
 
-/// Sends a call to one upstream, once.
-/// \return the upstream's answer, or an error whose Run() is NotRun only if
+/// Sends a call to one upstream, without retries.
+/// \return the upstream's response, or an error whose Run() is NotRun only if
 /// nothing of the call was written to an upstream
 asio::awaitable<Result<HttpResponse>> SendOnce(Node& aNode,
                                                const ServiceCall& aCall);
 
-/// \return the upstream's answer as the caller gets it
+/// \return the upstream's response without hop-by-hop headers
 HttpResponse RelayedResponse(HttpResponse aUpstream);
 
 }  // namespace rillwall
--- a/src/rillwall/settings.cpp
+++ b/src/rillwall/settings.cpp
@@ -14,17 +14,18 @@
 
 namespace {
 
-// Takes a setting's text in; false if it has not the form wanted.
-using TakeText = bool (*)(std::string_view aText, NodeSettings& aSettings);
+// Parses the text of a setting into the settings. Returns false if the text
+// does not have the required form.
+using ParseText = bool (*)(std::string_view aText, NodeSettings& aSettings);
 
-/// One setting.
-struct Row {
+/// Definition of one setting.
+struct Setting {
   const char* mFlag;      ///< without the leading dashes
   const char* mVariable;  ///< environment variable
-  const char* mForm;      ///< what is wanted, with its unit
+  const char* mForm;      ///< required form of the value, with its unit
   const char* mDefault;   ///< empty: none
   bool mRequired;
-  TakeText mTake;
+  ParseText mParse;
   const char* mHelp;
 };
 
@@ -32,9 +33,9 @@
 constexpr int64_t kMaxAperture = 1024;
 constexpr int64_t kMaxDrainSeconds = 3600;
 constexpr size_t kMinKeyBytes = 16;
-constexpr size_t kMaxName = 64;
+constexpr size_t kMaxNameLength = 64;
 
-bool TakeEndpoint(std::string_view aText, Endpoint& aEndpoint) {
+bool ParseEndpoint(std::string_view aText, Endpoint& aEndpoint) {
   const Result<Endpoint> endpoint = Endpoint::Parse(aText);
   if (!endpoint || endpoint->mPort == 0) {
     return false;
@@ -44,9 +45,9 @@
 }
 
 template <auto Member>
-bool Address(std::string_view aText, NodeSettings& aSettings) {
+bool ParseAddress(std::string_view aText, NodeSettings& aSettings) {
   Endpoint endpoint;
-  if (!TakeEndpoint(aText, endpoint)) {
+  if (!ParseEndpoint(aText, endpoint)) {
     return false;
   }
   aSettings.*Member = endpoint;
@@ -54,7 +55,7 @@
 }
 
 template <auto Member>
-bool Addresses(std::string_view aText, NodeSettings& aSettings) {
+bool ParseAddresses(std::string_view aText, NodeSettings& aSettings) {
   (aSettings.*Member).clear();
   while (!aText.empty()) {
     const size_t comma = std::min(aText.find(','), aText.size());
@@ -67,7 +68,7 @@
       part.remove_suffix(1);
     }
     Endpoint endpoint;
-    if (!TakeEndpoint(part, endpoint)) {
+    if (!ParseEndpoint(part, endpoint)) {
       return false;
     }
     (aSettings.*Member).push_back(endpoint);
@@ -75,23 +76,24 @@
   return !(aSettings.*Member).empty();
 }
 
-// Zones are named in policies too, and node ids may be addresses.
+// Characters allowed besides letters and digits. Policies name zones too, so
+// their names allow fewer characters; node ids may be addresses.
 constexpr char kZoneMarks[] = "._-";
 constexpr char kNodeMarks[] = "._-:[]";
 
 template <auto Member, const char* Marks>
-bool Name(std::string_view aText, NodeSettings& aSettings) {
+bool ParseName(std::string_view aText, NodeSettings& aSettings) {
   const auto good = [](char aByte) {
     return std::isalnum(static_cast<unsigned char>(aByte)) ||
            std::string_view(Marks).find(aByte) != std::string_view::npos;
   };
   aSettings.*Member = aText;
-  return !aText.empty() && aText.size() <= kMaxName &&
+  return !aText.empty() && aText.size() <= kMaxNameLength &&
          std::all_of(aText.begin(), aText.end(), good);
 }
 
 template <auto Member, int64_t Least, int64_t Most>
-bool Whole(std::string_view aText, NodeSettings& aSettings) {
+bool ParseWholeNumber(std::string_view aText, NodeSettings& aSettings) {
   const char* end = aText.data() + aText.size();
   int64_t value = 0;
   const auto [last, code] = std::from_chars(aText.data(), end, value);
@@ -100,25 +102,25 @@
 }
 
 template <auto Member>
-bool File(std::string_view aText, NodeSettings& aSettings) {
+bool ParseFile(std::string_view aText, NodeSettings& aSettings) {
   aSettings.*Member = aText;
   std::ifstream file((aSettings.*Member));
   return file.good() && std::filesystem::is_regular_file(aText);
 }
 
-bool KeyFile(std::string_view aText, NodeSettings& aSettings) {
-  return File<&NodeSettings::mFleetKeyFile>(aText, aSettings) &&
+bool ParseKeyFile(std::string_view aText, NodeSettings& aSettings) {
+  return ParseFile<&NodeSettings::mFleetKeyFile>(aText, aSettings) &&
          std::filesystem::file_size(aText) >= kMinKeyBytes;
 }
 
-bool Folder(std::string_view aText, NodeSettings& aSettings) {
+bool ParseFolder(std::string_view aText, NodeSettings& aSettings) {
   aSettings.mDataFolder = aText;
   std::error_code failed;
   return std::filesystem::is_directory(aText, failed) &&
          access(aSettings.mDataFolder.c_str(), W_OK | X_OK) == 0;
 }
 
-bool Level(std::string_view aText, NodeSettings& aSettings) {
+bool ParseLogLevel(std::string_view aText, NodeSettings& aSettings) {
   static constexpr std::array<std::string_view, 4> kNames = {"debug", "info",
                                                              "warn", "error"};
   const auto at = std::find(kNames.begin(), kNames.end(), aText);
@@ -126,7 +128,7 @@
   return at != kNames.end();
 }
 
-bool Json(std::string_view aText, NodeSettings& aSettings) {
+bool ParseLogJson(std::string_view aText, NodeSettings& aSettings) {
   aSettings.mLog.mJson = aText == "true" || aText == "1";
   return aSettings.mLog.mJson || aText == "false" || aText == "0";
 }
@@ -140,68 +142,73 @@
 
 using S = NodeSettings;
 
-constexpr Row kRows[] = {
+constexpr Setting kSettings[] = {
     {"node-id", "RILLWALL_NODE_ID", kNodeForm, "", false,
-     &Name<&S::mNodeId, kNodeMarks>,
+     &ParseName<&S::mNodeId, kNodeMarks>,
      "Name of this node, unique in the fleet. By default its rpc address as "
      "others reach it."},
-    {"zone", "RILLWALL_ZONE", kZoneForm, "", true, &Name<&S::mZone, kZoneMarks>,
+    {"zone", "RILLWALL_ZONE", kZoneForm, "", true,
+     &ParseName<&S::mZone, kZoneMarks>,
      "Availability zone that this host stands in."},
     {"http", "RILLWALL_HTTP", kEndpointForm, "0.0.0.0:8080", false,
-     &Address<&S::mHttp>,
+     &ParseAddress<&S::mHttp>,
      "Where callers, trainers and operators are listened for (TCP)."},
     {"rpc", "RILLWALL_RPC", kEndpointForm, "0.0.0.0:8081", false,
-     &Address<&S::mRpc>, "Where other nodes are listened for (TCP)."},
+     &ParseAddress<&S::mRpc>, "Where other nodes are listened for (TCP)."},
     {"gossip", "RILLWALL_GOSSIP", kEndpointForm, "0.0.0.0:8081", false,
-     &Address<&S::mGossip>,
+     &ParseAddress<&S::mGossip>,
      "Where datagrams of other nodes are listened for (UDP)."},
     {"advertise-http", "RILLWALL_ADVERTISE_HTTP", kEndpointForm, "", false,
-     &Address<&S::mAdvertiseHttp>,
+     &ParseAddress<&S::mAdvertiseHttp>,
      "Where others reach --http, if not under that address."},
     {"advertise-rpc", "RILLWALL_ADVERTISE_RPC", kEndpointForm, "", false,
-     &Address<&S::mAdvertiseRpc>,
+     &ParseAddress<&S::mAdvertiseRpc>,
      "Where others reach --rpc, if not under that address."},
     {"advertise-gossip", "RILLWALL_ADVERTISE_GOSSIP", kEndpointForm, "", false,
-     &Address<&S::mAdvertiseGossip>,
+     &ParseAddress<&S::mAdvertiseGossip>,
      "Where others reach --gossip, if not under that address."},
     {"seeds", "RILLWALL_SEEDS", kEndpointsForm, "", false,
-     &Addresses<&S::mSeeds>,
+     &ParseAddresses<&S::mSeeds>,
      "Gossip addresses of nodes to join the fleet through. The node's own may "
      "be among them. Without it the node is a fleet of one."},
-    {"kv", "RILLWALL_KV", kEndpointsForm, "", true, &Addresses<&S::mKv>,
+    {"kv", "RILLWALL_KV", kEndpointsForm, "", true, &ParseAddresses<&S::mKv>,
      "The platform's key-value service."},
     {"host-list", "RILLWALL_HOST_LIST", kEndpointForm, "", true,
-     &Address<&S::mHostList>, "The platform's list of hosts."},
+     &ParseAddress<&S::mHostList>, "The platform's list of hosts."},
     {"data-folder", "RILLWALL_DATA_FOLDER",
-     "a folder that exists and can be written to", "", false, &Folder,
+     "a folder that exists and can be written to", "", false, &ParseFolder,
      "Folder for bulk data. Without it the node keeps nothing on disk."},
     {"threads", "RILLWALL_THREADS", "a whole number from 1 to 64", "2", false,
-     &Whole<&S::mThreads, 1, kMaxThreads>, "Threads that serve requests."},
+     &ParseWholeNumber<&S::mThreads, 1, kMaxThreads>,
+     "Threads that serve requests."},
     {"log-level", "RILLWALL_LOG_LEVEL", "debug, info, warn or error", "info",
-     false, &Level, "Least severe message that is logged."},
-    {"log-json", "RILLWALL_LOG_JSON", "true or false", "false", false, &Json,
-     "Logs one JSON object a line."},
+     false, &ParseLogLevel, "Least severe message that is logged."},
+    {"log-json", "RILLWALL_LOG_JSON", "true or false", "false", false,
+     &ParseLogJson, "Logs one JSON object a line."},
     {"fleet-key-file", "RILLWALL_FLEET_KEY_FILE",
-     "a file that can be read and has at least 16 bytes", "", false, &KeyFile,
+     "a file that can be read and has at least 16 bytes", "", false,
+     &ParseKeyFile,
      "File with the key that all nodes of the fleet share. Without it anyone "
      "who reaches --rpc or --gossip can pose as a node."},
     {"tls-cert", "RILLWALL_TLS_CERT", kFileForm, "", false,
-     &File<&S::mTlsCertFile>, "PEM file with this node's certificate."},
+     &ParseFile<&S::mTlsCertFile>, "PEM file with this node's certificate."},
     {"tls-key", "RILLWALL_TLS_KEY", kFileForm, "", false,
-     &File<&S::mTlsKeyFile>, "PEM file with the certificate's private key."},
-    {"tls-ca", "RILLWALL_TLS_CA", kFileForm, "", false, &File<&S::mTlsCaFile>,
+     &ParseFile<&S::mTlsKeyFile>,
+     "PEM file with the certificate's private key."},
+    {"tls-ca", "RILLWALL_TLS_CA", kFileForm, "", false,
+     &ParseFile<&S::mTlsCaFile>,
      "PEM file with the authority that signs the fleet's certificates."},
     {"aperture", "RILLWALL_APERTURE", "a whole number from 1 to 1024", "16",
-     false, &Whole<&S::mAperture, 1, kMaxAperture>,
+     false, &ParseWholeNumber<&S::mAperture, 1, kMaxAperture>,
      "Upstreams of each kind that this node polls and routes to."},
     {"drain-seconds", "RILLWALL_DRAIN_SECONDS",
      "a whole number of seconds from 0 to 3600", "120", false,
-     &Whole<&S::mDrainSeconds, 0, kMaxDrainSeconds>,
+     &ParseWholeNumber<&S::mDrainSeconds, 0, kMaxDrainSeconds>,
      "Longest wait for requests in flight at a shutdown."},
 };
 
-std::string Title(const Row& aRow) {
-  return std::string("--") + aRow.mFlag + " (" + aRow.mVariable + ")";
+std::string Title(const Setting& aSetting) {
+  return std::string("--") + aSetting.mFlag + " (" + aSetting.mVariable + ")";
 }
 
 bool IsAnyAddress(const Endpoint& aEndpoint) {
@@ -214,8 +221,8 @@
           IsAnyAddress(aRight));
 }
 
-// What one setting alone does not show.
-std::vector<std::string> CheckTogether(const NodeSettings& aSettings) {
+// Checks combinations of settings.
+std::vector<std::string> CheckCombinations(const NodeSettings& aSettings) {
   std::vector<std::string> errors;
   const auto reachable = [&](const char* aFlag, const Endpoint& aEndpoint) {
     if (IsAnyAddress(aEndpoint)) {
@@ -245,44 +252,46 @@
 }  // namespace
 
 struct SettingsReader::Impl {
-  std::array<std::string, std::size(kRows)> mTexts;
+  std::array<std::string, std::size(kSettings)> mTexts;
 
-  std::vector<std::string> Take(NodeSettings& aSettings) const;
+  std::vector<std::string> ParseAll(NodeSettings& aSettings) const;
 };
 
 SettingsReader::SettingsReader() : mImpl(std::make_unique<Impl>()) {}
 SettingsReader::~SettingsReader() = default;
 
-// Texts only: CLI11 would stop at the first that it finds wrong.
+// Registers all options as plain texts. If CLI11 checked them, it would stop at
+// the first error.
 void SettingsReader::AddTo(CLI::App& aApp) {
-  for (size_t i = 0; i < std::size(kRows); ++i) {
-    const Row& row = kRows[i];
-    const std::string name = std::string("--") + row.mFlag;
-    const std::string help = std::string(row.mHelp) + " Form: " + row.mForm +
-                             (row.mRequired ? ". Required." : ".");
+  for (size_t i = 0; i < std::size(kSettings); ++i) {
+    const Setting& setting = kSettings[i];
+    const std::string name = std::string("--") + setting.mFlag;
+    const std::string help = std::string(setting.mHelp) +
+                             " Form: " + setting.mForm +
+                             (setting.mRequired ? ". Required." : ".");
     std::string& text = mImpl->mTexts[i];
-    CLI::Option* option = row.mTake == &Json
+    CLI::Option* option = setting.mParse == &ParseLogJson
                               ? aApp.add_flag(name, text, help)
                               : aApp.add_option(name, text, help);
-    option->envname(row.mVariable);
-    option->default_str(row.mDefault);
+    option->envname(setting.mVariable);
+    option->default_str(setting.mDefault);
     option->take_last();
   }
 }
 
-std::vector<std::string> SettingsReader::Impl::Take(
+std::vector<std::string> SettingsReader::Impl::ParseAll(
     NodeSettings& aSettings) const {
   std::vector<std::string> errors;
-  for (size_t i = 0; i < std::size(kRows); ++i) {
-    const Row& row = kRows[i];
-    const std::string& text = mTexts[i].empty() ? row.mDefault : mTexts[i];
-    const std::string remedy = std::string(" Give ") + row.mForm + ".";
+  for (size_t i = 0; i < std::size(kSettings); ++i) {
+    const Setting& setting = kSettings[i];
+    const std::string& text = mTexts[i].empty() ? setting.mDefault : mTexts[i];
+    const std::string remedy = std::string(" Give ") + setting.mForm + ".";
     if (!text.empty()) {
-      if (!row.mTake(text, aSettings)) {
-        errors.push_back(Title(row) + " is '" + text + "'." + remedy);
+      if (!setting.mParse(text, aSettings)) {
+        errors.push_back(Title(setting) + " is '" + text + "'." + remedy);
       }
-    } else if (row.mRequired) {
-      errors.push_back(Title(row) + " is missing." + remedy);
+    } else if (setting.mRequired) {
+      errors.push_back(Title(setting) + " is missing." + remedy);
     }
   }
   return errors;
@@ -290,8 +299,8 @@
 
 Result<NodeSettings> SettingsReader::Read() const {
   NodeSettings settings;
-  std::vector<std::string> errors = mImpl->Take(settings);
-  const std::vector<std::string> more = CheckTogether(settings);
+  std::vector<std::string> errors = mImpl->ParseAll(settings);
+  const std::vector<std::string> more = CheckCombinations(settings);
   errors.insert(errors.end(), more.begin(), more.end());
   if (errors.empty()) {
     if (settings.mNodeId.empty()) {
@@ -316,13 +325,15 @@
       "--check` does only that.\n\n"
       "| Flag | Variable | Default | Form | Meaning |\n"
       "|---|---|---|---|---|\n";
-  for (const Row& row : kRows) {
+  for (const Setting& setting : kSettings) {
     const std::string value =
-        row.mRequired ? "required"
-                      : (*row.mDefault ? std::string("`") + row.mDefault + "`"
-                                       : std::string("none"));
-    page += std::string("| `--") + row.mFlag + "` | `" + row.mVariable +
-            "` | " + value + " | " + row.mForm + " | " + row.mHelp + " |\n";
+        setting.mRequired
+            ? "required"
+            : (*setting.mDefault ? std::string("`") + setting.mDefault + "`"
+                                 : std::string("none"));
+    page += std::string("| `--") + setting.mFlag + "` | `" + setting.mVariable +
+            "` | " + value + " | " + setting.mForm + " | " + setting.mHelp +
+            " |\n";
   }
   return page;
 }
--- a/src/rillwall/settings_test.cpp
+++ b/src/rillwall/settings_test.cpp
@@ -14,9 +14,9 @@
 
 using Arguments = std::vector<std::string>;
 
-const Arguments kLeast = {"--zone=maslak",       "--http=127.0.0.1:80",
-                          "--rpc=127.0.0.1:81",  "--gossip=127.0.0.1:81",
-                          "--kv=127.0.0.1:2379", "--host-list=127.0.0.1:90"};
+const Arguments kMinimalArguments = {
+    "--zone=maslak",         "--http=127.0.0.1:80", "--rpc=127.0.0.1:81",
+    "--gossip=127.0.0.1:81", "--kv=127.0.0.1:2379", "--host-list=127.0.0.1:90"};
 
 Result<NodeSettings> Read(Arguments aArguments) {
   CLI::App app;
@@ -27,8 +27,8 @@
   return reader.Read();
 }
 
-Arguments LeastAnd(const Arguments& aMore) {
-  Arguments all = kLeast;
+Arguments MinimalArgumentsAnd(const Arguments& aMore) {
+  Arguments all = kMinimalArguments;
   all.insert(all.end(), aMore.begin(), aMore.end());
   return all;
 }
@@ -41,17 +41,17 @@
 
 class SettingsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SettingsTest);
-  CPPUNIT_TEST(TestDefaults);
-  CPPUNIT_TEST(TestAll);
-  CPPUNIT_TEST(TestEnvironment);
-  CPPUNIT_TEST(TestAllErrorsAtOnce);
-  CPPUNIT_TEST(TestWrongForms);
-  CPPUNIT_TEST(TestTogether);
-  CPPUNIT_TEST(TestPage);
+  CPPUNIT_TEST(DefaultsAreApplied);
+  CPPUNIT_TEST(FlagsAreRead);
+  CPPUNIT_TEST(FlagOverridesEnvironmentVariable);
+  CPPUNIT_TEST(AllErrorsAreReportedTogether);
+  CPPUNIT_TEST(MalformedValuesAreRefused);
+  CPPUNIT_TEST(ContradictorySettingsAreRefused);
+  CPPUNIT_TEST(DocumentationPageIsUpToDate);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TestDefaults() {
+  void DefaultsAreApplied() {
     NodeSettings wanted;
     wanted.mNodeId = "127.0.0.1:81";
     wanted.mZone = "maslak";
@@ -60,22 +60,22 @@
     wanted.mGossip = {"127.0.0.1", 81};
     wanted.mKv = {{"127.0.0.1", 2379}};
     wanted.mHostList = {"127.0.0.1", 90};
-    CPPUNIT_ASSERT(*Read(kLeast) == wanted);
-    const Result<NodeSettings> wide =
+    CPPUNIT_ASSERT(*Read(kMinimalArguments) == wanted);
+    const Result<NodeSettings> advertised =
         Read({"--zone=z", "--kv=127.0.0.1:1", "--host-list=127.0.0.1:2",
               "--advertise-http=10.0.0.1:8080", "--advertise-rpc=10.0.0.1:1",
               "--advertise-gossip=10.0.0.1:2"});
-    CPPUNIT_ASSERT(wide->mHttp == NodeSettings().mHttp);
-    CPPUNIT_ASSERT(wide->mRpc == NodeSettings().mRpc);
-    CPPUNIT_ASSERT(wide->mGossip == NodeSettings().mGossip);
-    CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:1"), wide->mNodeId);
+    CPPUNIT_ASSERT(advertised->mHttp == NodeSettings().mHttp);
+    CPPUNIT_ASSERT(advertised->mRpc == NodeSettings().mRpc);
+    CPPUNIT_ASSERT(advertised->mGossip == NodeSettings().mGossip);
+    CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:1"), advertised->mNodeId);
   }
 
-  void TestAll() {
-    const NodeSettings settings = *Read(
-        LeastAnd({"--seeds=127.0.0.1:1, 127.0.0.1:2", "--threads=4",
-                  "--log-json", "--log-level=warn", "--aperture=3",
-                  "--drain-seconds=0", "--data-folder=/tmp", "--node-id=a"}));
+  void FlagsAreRead() {
+    const NodeSettings settings = *Read(MinimalArgumentsAnd(
+        {"--seeds=127.0.0.1:1, 127.0.0.1:2", "--threads=4", "--log-json",
+         "--log-level=warn", "--aperture=3", "--drain-seconds=0",
+         "--data-folder=/tmp", "--node-id=a"}));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, settings.mSeeds.size());
     CPPUNIT_ASSERT_EQUAL(uint16_t{2}, settings.mSeeds[1].mPort);
     CPPUNIT_ASSERT_EQUAL(int64_t{4}, settings.mThreads);
@@ -85,12 +85,13 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), settings.mNodeId);
   }
 
-  void TestEnvironment() {
+  void FlagOverridesEnvironmentVariable() {
     setenv("RILLWALL_THREADS", "7", 1);
     setenv("RILLWALL_LOG_JSON", "true", 1);
     setenv("RILLWALL_APERTURE", "", 1);
-    const Result<NodeSettings> variable = Read(kLeast);
-    const Result<NodeSettings> flag = Read(LeastAnd({"--threads=8"}));
+    const Result<NodeSettings> variable = Read(kMinimalArguments);
+    const Result<NodeSettings> flag =
+        Read(MinimalArgumentsAnd({"--threads=8"}));
     unsetenv("RILLWALL_THREADS");
     unsetenv("RILLWALL_LOG_JSON");
     unsetenv("RILLWALL_APERTURE");
@@ -100,7 +101,7 @@
     CPPUNIT_ASSERT_EQUAL(int64_t{8}, flag->mThreads);
   }
 
-  void TestAllErrorsAtOnce() {
+  void AllErrorsAreReportedTogether() {
     const Result<NodeSettings> settings =
         Read({"--threads=0", "--http=localhost:1"});
     CPPUNIT_ASSERT(!settings.has_value());
@@ -116,7 +117,7 @@
     }
   }
 
-  void TestWrongForms() {
+  void MalformedValuesAreRefused() {
     for (const char* argument :
          {"--threads=x", "--threads=2x", "--threads=65", "--aperture=0",
           "--drain-seconds=-1", "--kv=127.0.0.1", "--kv=127.0.0.1:1,x",
@@ -124,26 +125,27 @@
           "--log-json=maybe", "--zone=a b", "--zone=a:b",
           "--data-folder=/nowhere", "--fleet-key-file=/nowhere",
           "--tls-ca=/nowhere", "--rpc=127.0.0.1:70000"}) {
-      const Result<NodeSettings> settings = Read(LeastAnd({argument}));
+      const Result<NodeSettings> settings =
+          Read(MinimalArgumentsAnd({argument}));
       CPPUNIT_ASSERT_MESSAGE(argument, !settings.has_value());
       CPPUNIT_ASSERT_MESSAGE(argument,
                              Contains(settings.error().Detail(), "Give "));
     }
   }
 
-  void TestTogether() {
+  void ContradictorySettingsAreRefused() {
     const std::string file = RILLWALL_SOURCE_DIR "/CMakeLists.txt";
     for (const std::string& argument :
          {std::string("--http=127.0.0.1:81"), "--tls-cert=" + file,
           "--tls-key=" + file, "--tls-ca=" + file}) {
-      CPPUNIT_ASSERT_MESSAGE(argument, !Read(LeastAnd({argument})));
+      CPPUNIT_ASSERT_MESSAGE(argument, !Read(MinimalArgumentsAnd({argument})));
     }
-    CPPUNIT_ASSERT(
-        Read(LeastAnd({"--tls-cert=" + file, "--tls-key=" + file,
-                       "--tls-ca=" + file, "--fleet-key-file=" + file})));
+    CPPUNIT_ASSERT(Read(
+        MinimalArgumentsAnd({"--tls-cert=" + file, "--tls-key=" + file,
+                             "--tls-ca=" + file, "--fleet-key-file=" + file})));
   }
 
-  void TestPage() {
+  void DocumentationPageIsUpToDate() {
     std::ifstream file(RILLWALL_SOURCE_DIR "/docs/SETTINGS.md");
     std::stringstream text;
     text << file.rdbuf();
