--- a/src/rillwall/step_owner.cpp
+++ b/src/rillwall/step_owner.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Millis kTick{50};
+constexpr Millis kTickPeriod{50};
 constexpr Millis kCapacityPeriod{200};
 constexpr Millis kAskTimeout{1000};
 constexpr Millis kGroupTimeout{900000};
-constexpr Millis kFollowPeriod{2000};
+constexpr Millis kRunnerPollPeriod{2000};
 constexpr Millis kMaxPullWait{30000};
-constexpr size_t kSpecCopies = 3;
+constexpr size_t kSpecReplicas = 3;
 constexpr size_t kMaxRunners = 32;
 constexpr uint32_t kMaxGroupsPerPull = 64;
 
@@ -32,17 +32,17 @@
         step.mTracker->RunnerLost(aMember.mId, mNode.Now());
       }
     }
-    ReviewDuties();
+    ReviewOwnership();
   });
   mNode.SpawnControl(TickLoop());
 }
 
-const TrainerRule* StepOwner::Rule(const std::string& aTrainer) const {
+const TrainerRule* StepOwner::FindRule(const std::string& aTrainer) const {
   return mNode.Policies().Read()->Rules().Trainer(aTrainer);
 }
 
 int64_t StepOwner::NewestVersion(const std::string& aTrainer) const {
-  const TrainerRule* rule = Rule(aTrainer);
+  const TrainerRule* rule = FindRule(aTrainer);
   if (rule == nullptr) {
     return 0;
   }
@@ -56,7 +56,7 @@
   return !owners.empty() && owners[0].mId == mNode.Settings().mNodeId;
 }
 
-std::string StepOwner::RpcOf(const std::string& aNode) const {
+std::string StepOwner::RpcAddressOf(const std::string& aNode) const {
   for (const Member& member : mNode.Members().All()) {
     if (member.mId == aNode) {
       return member.mRpc;
@@ -65,14 +65,14 @@
   return {};
 }
 
-// With many nodes a step's groups go to a part of them, so that an owner asks
-// few for room.
+// In a large fleet only some of the nodes run the groups of a step, so that its
+// owner asks few nodes for their capacity.
 std::vector<Member> StepOwner::Runners(const StepId& aId) const {
   return DutyOwners(mNode.Members().Live(), aId.Duty() + "/run", kMaxRunners);
 }
 
-void StepOwner::TakeUp(const StepSpec& aSpec, bool aRebuilding) {
-  const TrainerRule* rule = Rule(aSpec.mId.mTrainer);
+void StepOwner::StartOwning(const StepSpec& aSpec, bool aRebuilding) {
+  const TrainerRule* rule = FindRule(aSpec.mId.mTrainer);
   if (rule == nullptr || mOwnedSteps.contains(aSpec.mId)) {
     return;
   }
@@ -84,43 +84,44 @@
   mOwnedSteps[aSpec.mId] = std::move(step);
   if (aRebuilding) {
     mNode.Meter().Add(Counter::Takeovers);
-    Log(Part::Step).Info("Takes over " + aSpec.mId.Duty() + ".");
+    Log(Part::Step).Info("Taking over " + aSpec.mId.Duty() + ".");
     mNode.SpawnControl(Rebuild(aSpec.mId));
   }
 }
 
-// After a change of membership: give up steps that others own now, take up
-// those whose owner has gone.
-void StepOwner::ReviewDuties() {
+// After a change of the membership: hands off the steps that other nodes own
+// now, and takes over those that this node owns now.
+void StepOwner::ReviewOwnership() {
   for (auto it = mOwnedSteps.begin(); it != mOwnedSteps.end();) {
     if (IsOwner(it->first)) {
       ++it;
       continue;
     }
-    Log(Part::Step).Info("Gives up " + it->first.Duty() + ".");
-    // The new owner may have joined after the step was opened.
+    Log(Part::Step).Info("Handing off " + it->first.Duty() + ".");
+    // The new owner may have joined after the step was opened, so it may lack
+    // the specification.
     mNode.SpawnControl(Replicate(it->second.mTracker->Spec()));
-    Wake(it->second);
+    WakePulls(it->second);
     it = mOwnedSteps.erase(it);
   }
   for (const auto& [id, spec] : mSpecs) {
     if (IsOwner(id) && !mOwnedSteps.contains(id)) {
-      TakeUp(spec, true);
+      StartOwning(spec, true);
     }
   }
 }
 
 asio::awaitable<std::vector<StepOwner::NodeInventory>>
 StepOwner::AskInventories(StepId aStep, std::vector<Member> aMembers) {
-  std::vector<asio::awaitable<Result<wire::PeerReply>>> asks;
+  std::vector<asio::awaitable<Result<wire::PeerReply>>> requests;
   for (const Member& member : aMembers) {
     wire::PeerRequest request;
     *request.mutable_ask_inventory()->mutable_id() = ToWire(aStep);
-    asks.push_back(mNode.CallPeer(member.mId, member.mRpc, std::move(request),
-                                  kAskTimeout));
+    requests.push_back(mNode.CallPeer(member.mId, member.mRpc,
+                                      std::move(request), kAskTimeout));
   }
   const std::vector<Result<wire::PeerReply>> replies =
-      co_await RunAll(mNode.Control(), std::move(asks));
+      co_await RunAll(mNode.Control(), std::move(requests));
   std::vector<NodeInventory> inventories;
   for (size_t i = 0; i < replies.size(); ++i) {
     if (!replies[i]) {
@@ -144,8 +145,8 @@
   co_return inventories;
 }
 
-void StepOwner::TakeIn(StepTracker& aTracker,
-                       const std::vector<NodeInventory>& aInventories) {
+void StepOwner::AddInventories(StepTracker& aTracker,
+                               const std::vector<NodeInventory>& aInventories) {
   for (const NodeInventory& inventory : aInventories) {
     aTracker.Inventory(inventory.mNode, inventory.mHeld, inventory.mRunning,
                        mNode.Now());
@@ -163,14 +164,14 @@
   if (found == mOwnedSteps.end()) {
     co_return;
   }
-  TakeIn(*found->second.mTracker, inventories);
+  AddInventories(*found->second.mTracker, inventories);
   found->second.mTracker->Rebuilt(mNode.Now());
-  Wake(found->second);
+  WakePulls(found->second);
 }
 
-// Groups that were running at a takeover answer the old owner; their runners
-// are asked until they have finished.
-asio::awaitable<void> StepOwner::FollowRunners(StepId aStep) {
+// Groups that were running at a takeover reply to the previous owner. This node
+// therefore polls their runners until the groups have finished.
+asio::awaitable<void> StepOwner::PollEarlierRunners(StepId aStep) {
   const auto tracker = mOwnedSteps.find(aStep);
   const std::vector<std::string> wanted =
       tracker->second.mTracker->RunnersToAsk();
@@ -185,12 +186,12 @@
       co_await AskInventories(aStep, std::move(members));
   const auto found = mOwnedSteps.find(aStep);
   if (found != mOwnedSteps.end()) {
-    TakeIn(*found->second.mTracker, inventories);
-    Wake(found->second);
+    AddInventories(*found->second.mTracker, inventories);
+    WakePulls(found->second);
   }
 }
 
-void StepOwner::HandedOver(const wire::HandOver& aHandOver) {
+void StepOwner::RecordHandOver(const wire::HandOver& aHandOver) {
   const auto found = mOwnedSteps.find(FromWire(aHandOver.id()).value());
   if (found == mOwnedSteps.end()) {
     return;
@@ -211,7 +212,7 @@
     CarryOut(found->first,
              found->second.mTracker->Finished(summary, mNode.Now()));
   }
-  Wake(found->second);
+  WakePulls(found->second);
 }
 
 asio::awaitable<void> StepOwner::TickLoop() {
@@ -219,31 +220,31 @@
     for (auto& [id, step] : mOwnedSteps) {
       TickStep(id, step);
     }
-    co_await Node::Sleep(kTick);
+    co_await Node::Sleep(kTickPeriod);
   }
 }
 
 void StepOwner::TickStep(const StepId& aId, OwnedStep& aStep) {
-  const TrainerRule* rule = Rule(aId.mTrainer);
+  const TrainerRule* rule = FindRule(aId.mTrainer);
   if (rule != nullptr) {
     aStep.mTracker->SetRule(*rule);
   }
   const bool due = mNode.Now() - aStep.mCapacitiesAt >= kCapacityPeriod;
-  if (due && !aStep.mAsking) {
-    aStep.mAsking = true;
+  if (due && !aStep.mCapacityRequestPending) {
+    aStep.mCapacityRequestPending = true;
     mNode.SpawnControl(AskCapacities(aId));
   }
-  if (mNode.Now() - aStep.mFollowedAt >= kFollowPeriod) {
-    aStep.mFollowedAt = mNode.Now();
-    mNode.SpawnControl(FollowRunners(aId));
+  if (mNode.Now() - aStep.mRunnersPolledAt >= kRunnerPollPeriod) {
+    aStep.mRunnersPolledAt = mNode.Now();
+    mNode.SpawnControl(PollEarlierRunners(aId));
   }
   const int64_t newest = NewestVersion(aId.mTrainer);
   const StepActions actions =
       aStep.mTracker->Tick(aStep.mCapacities, newest, mNode.Now());
-  // Room is used up by what was ordered, until it is asked for again.
+  // Subtracts the new orders from the known capacities until the next poll.
   for (const GroupOrder& order : actions.mRun) {
-    for (RunnerCapacity& room : aStep.mCapacities) {
-      room.mCapacity -= room.mNode == order.mRunner ? 1 : 0;
+    for (RunnerCapacity& capacity : aStep.mCapacities) {
+      capacity.mCapacity -= capacity.mNode == order.mRunner ? 1 : 0;
     }
   }
   CarryOut(aId, actions);
@@ -251,15 +252,15 @@
 
 asio::awaitable<void> StepOwner::AskCapacities(StepId aStep) {
   const std::vector<Member> runners = Runners(aStep);
-  std::vector<asio::awaitable<Result<wire::PeerReply>>> asks;
+  std::vector<asio::awaitable<Result<wire::PeerReply>>> requests;
   for (const Member& member : runners) {
     wire::PeerRequest request;
     request.mutable_ask_room()->set_trainer(aStep.mTrainer);
-    asks.push_back(mNode.CallPeer(member.mId, member.mRpc, std::move(request),
-                                  kAskTimeout));
+    requests.push_back(mNode.CallPeer(member.mId, member.mRpc,
+                                      std::move(request), kAskTimeout));
   }
   const std::vector<Result<wire::PeerReply>> replies =
-      co_await RunAll(mNode.Control(), std::move(asks));
+      co_await RunAll(mNode.Control(), std::move(requests));
   const auto found = mOwnedSteps.find(aStep);
   if (found == mOwnedSteps.end()) {
     co_return;
@@ -274,18 +275,18 @@
     }
   }
   step.mCapacitiesAt = mNode.Now();
-  step.mAsking = false;
+  step.mCapacityRequestPending = false;
 }
 
-asio::awaitable<void> StepOwner::Tell(std::string aNode,
-                                      wire::PeerRequest aRequest) {
-  co_await mNode.CallPeer(aNode, RpcOf(aNode), std::move(aRequest),
+asio::awaitable<void> StepOwner::Notify(std::string aNode,
+                                        wire::PeerRequest aRequest) {
+  co_await mNode.CallPeer(aNode, RpcAddressOf(aNode), std::move(aRequest),
                           kAskTimeout);
 }
 
 void StepOwner::CarryOut(const StepId& aId, const StepActions& aActions) {
   for (const GroupOrder& order : aActions.mRun) {
-    mNode.SpawnControl(RunOne(aId, order));
+    mNode.SpawnControl(RunGroupOn(aId, order));
   }
   for (const GroupOrder& order : aActions.mCancel) {
     wire::PeerRequest request;
@@ -293,7 +294,7 @@
     *cancel.mutable_id() = ToWire(aId);
     cancel.set_group(static_cast<uint32_t>(order.mGroup));
     cancel.set_attempt(order.mAttempt);
-    mNode.SpawnControl(Tell(order.mRunner, std::move(request)));
+    mNode.SpawnControl(Notify(order.mRunner, std::move(request)));
   }
   std::map<std::string, wire::PeerRequest> releases;
   for (const GroupOrder& order : aActions.mRelease) {
@@ -303,11 +304,11 @@
     release.add_groups(static_cast<uint32_t>(order.mGroup));
   }
   for (auto& [runner, request] : releases) {
-    mNode.SpawnControl(Tell(runner, std::move(request)));
+    mNode.SpawnControl(Notify(runner, std::move(request)));
   }
 }
 
-asio::awaitable<void> StepOwner::RunOne(StepId aStep, GroupOrder aOrder) {
+asio::awaitable<void> StepOwner::RunGroupOn(StepId aStep, GroupOrder aOrder) {
   const auto spec = mSpecs.find(aStep);
   if (spec == mSpecs.end()) {
     co_return;
@@ -321,12 +322,13 @@
   run.set_group_size(spec->second.mGroupSize);
   run.set_max_tokens(spec->second.mMaxTokens);
   run.set_seed(spec->second.mSeed);
-  const TrainerRule* rule = Rule(aStep.mTrainer);
+  const TrainerRule* rule = FindRule(aStep.mTrainer);
   const int64_t bound = rule == nullptr ? -1 : rule->mStaleness.mVersions;
   const int64_t newest = NewestVersion(aStep.mTrainer);
   run.set_min_version(bound < 0 ? 0 : std::max<int64_t>(0, newest - bound));
-  const Result<wire::PeerReply> reply = co_await mNode.CallPeer(
-      aOrder.mRunner, RpcOf(aOrder.mRunner), std::move(request), kGroupTimeout);
+  const Result<wire::PeerReply> reply =
+      co_await mNode.CallPeer(aOrder.mRunner, RpcAddressOf(aOrder.mRunner),
+                              std::move(request), kGroupTimeout);
   const auto found = mOwnedSteps.find(aStep);
   if (found == mOwnedSteps.end()) {
     co_return;
@@ -342,16 +344,16 @@
     co_return;
   }
   CarryOut(aStep, tracker.Finished(*summary, mNode.Now()));
-  Wake(found->second);
+  WakePulls(found->second);
 }
 
-void StepOwner::Wake(OwnedStep& aStep) {
+void StepOwner::WakePulls(OwnedStep& aStep) {
   aStep.mChanged->expires_at(asio::steady_timer::time_point::max());
 }
 
 asio::awaitable<void> StepOwner::Replicate(StepSpec aSpec) {
   const std::vector<Member> owners =
-      DutyOwners(mNode.Members().Live(), aSpec.mId.Duty(), kSpecCopies);
+      DutyOwners(mNode.Members().Live(), aSpec.mId.Duty(), kSpecReplicas);
   std::vector<asio::awaitable<Result<wire::PeerReply>>> sends;
   for (const Member& member : owners) {
     if (member.mId == mNode.Settings().mNodeId) {
@@ -374,34 +376,34 @@
     co_return parsed.error();
   }
   const StepSpec& spec = *parsed;
-  if (Rule(spec.mId.mTrainer) == nullptr) {
+  if (FindRule(spec.mId.mTrainer) == nullptr) {
     co_return Error(ErrorKind::NotFound,
                     "No policy names the trainer '" + spec.mId.mTrainer + "'.");
   }
   const auto known = mSpecs.find(spec.mId);
   if (known != mSpecs.end() && known->second != spec) {
     co_return Error(ErrorKind::Conflict,
-                    "The step is open with other contents; close it first or "
-                    "take a new step number.");
+                    "The step is open with different contents; close it first "
+                    "or use a new step number.");
   }
   mSpecs[spec.mId] = spec;
   if (aOpen.replica()) {
     if (IsOwner(spec.mId)) {
-      TakeUp(spec, true);
+      StartOwning(spec, true);
     }
     co_return State(spec.mId);
   }
   if (!mOwnedSteps.contains(spec.mId)) {
     co_await Replicate(spec);
-    // Opened again after an owner was lost: others may hold some groups. A
-    // step that nobody knows anything of begins at once.
+    // If the step is opened again after its owner was lost, other nodes may
+    // hold some groups. A step of which no node has a group starts at once.
     const std::vector<NodeInventory> inventories =
         co_await AskInventories(spec.mId, mNode.Members().Live());
     const bool known =
         std::ranges::any_of(inventories, [](const NodeInventory& aInventory) {
           return !aInventory.mHeld.empty() || !aInventory.mRunning.empty();
         });
-    TakeUp(spec, known);
+    StartOwning(spec, known);
   }
   co_return State(spec.mId);
 }
@@ -426,7 +428,7 @@
   return state;
 }
 
-Result<StepOwner::OwnedStep*> StepOwner::Owned(const StepId& aId) {
+Result<StepOwner::OwnedStep*> StepOwner::FindOwned(const StepId& aId) {
   const auto found = mOwnedSteps.find(aId);
   if (found != mOwnedSteps.end()) {
     return &found->second;
@@ -436,7 +438,7 @@
   }
   const auto spec = mSpecs.find(aId);
   if (spec != mSpecs.end()) {
-    TakeUp(spec->second, true);
+    StartOwning(spec->second, true);
     const auto taken = mOwnedSteps.find(aId);
     if (taken != mOwnedSteps.end()) {
       return &taken->second;
@@ -450,7 +452,7 @@
 
 asio::awaitable<Result<wire::PullPlan>> StepOwner::Plan(wire::PlanPull aPull) {
   const StepId id = FromWire(aPull.id()).value();
-  Result<OwnedStep*> step = Owned(id);
+  Result<OwnedStep*> step = FindOwned(id);
   if (!step) {
     co_return step.error();
   }
@@ -460,30 +462,30 @@
     co_return receipt.error();
   }
   const uint64_t pull = ++(*step)->mPull;
-  Wake(**step);
+  WakePulls(**step);
   for (const wire::HeldGroup& lost : aPull.lost()) {
     (*step)->mTracker->Failed(lost.group(), lost.runner(), lost.attempt(),
                               mNode.Now());
   }
-  const size_t most =
+  const size_t maxGroups =
       std::clamp<uint32_t>(aPull.max_groups(), 1, kMaxGroupsPerPull);
   const Millis wait =
       std::clamp(Millis(aPull.wait_ms()), Millis(0), kMaxPullWait);
   const Millis end = mNode.Now() + wait;
   while (true) {
-    step = Owned(id);
+    step = FindOwned(id);
     if (!step) {
       co_return step.error();
     }
     if ((*step)->mPull != pull) {
       co_return Error(ErrorKind::Superseded,
-                      "A newer pull of this step has come.");
+                      "A newer pull of this step has replaced this one.");
     }
     const int64_t newest =
         std::max(NewestVersion(id.mTrainer), aPull.newest_version());
     StepActions actions;
-    const PullPlan plan =
-        (*step)->mTracker->Plan(*receipt, newest, most, mNode.Now(), actions);
+    const PullPlan plan = (*step)->mTracker->Plan(*receipt, newest, maxGroups,
+                                                  mNode.Now(), actions);
     CarryOut(id, actions);
     const bool done = !plan.mGroups.empty() || plan.mComplete;
     if (done || mNode.Now() >= end) {
@@ -495,7 +497,7 @@
         held->set_group(static_cast<uint32_t>(summary.mGroup));
         held->set_attempt(summary.mAttempt);
         held->set_runner(summary.mRunner);
-        held->set_runner_rpc(RpcOf(summary.mRunner));
+        held->set_runner_rpc(RpcAddressOf(summary.mRunner));
       }
       co_return reply;
     }
@@ -513,7 +515,7 @@
   mSpecs.erase(aStep);
   const auto found = mOwnedSteps.find(aStep);
   if (found != mOwnedSteps.end()) {
-    Wake(found->second);
+    WakePulls(found->second);
     mOwnedSteps.erase(found);
   }
   co_return state;
--- a/src/rillwall/step_trace.cpp
+++ b/src/rillwall/step_trace.cpp
@@ -10,14 +10,17 @@
 
 namespace {
 
-/// Shorter runs tell little of a replica's pace: the prompt is most of them.
-constexpr int64_t kTellingEvents = 20;
-/// The pace of the fastest replicas: this part of all runs was faster.
-constexpr double kFastShare = 0.05;
-/// A log that goes back by this holds two runs of its node; smaller steps back
-/// come from clocks that are set.
-constexpr int64_t kOtherRunMs = 60000;
-/// Lines of one step on two hosts whose clocks differ by more are not compared.
+/// Runs with fewer events are ignored for the pace, because processing the
+/// prompt takes most of their time.
+constexpr int64_t kMinEventsForPace = 20;
+/// The fastest replicas' pace is the pace that only this fraction of runs
+/// beats.
+constexpr double kFastestFraction = 0.05;
+/// A log whose time goes back by more than this contains two runs of its node.
+/// Smaller steps back come from clock adjustments.
+constexpr int64_t kNewRunBackstepMs = 60000;
+/// A run that starts earlier than this before the acceptance of its step is
+/// reported as a clock difference.
 constexpr int64_t kClockSlackMs = 1000;
 
 }  // namespace
@@ -30,10 +33,10 @@
   int64_t mTime;
 
   std::string Text(std::string_view aName) const {
-    return LineText(mFields, aName);
+    return TextField(mFields, aName);
   }
   int64_t Number(std::string_view aName) const {
-    return LineNumber(mFields, aName);
+    return NumberField(mFields, aName);
   }
 };
 
@@ -51,27 +54,27 @@
   while (std::getline(aLog, text)) {
     const std::optional<LogLine> line = ParseLogLine(text, aName);
     if (!line) {
-      mBroken += HoldsLogLine(text) ? 1 : 0;
+      mUnparsedLines += ContainsLogLine(text) ? 1 : 0;
       continue;
     }
     int64_t& latest = mLatest[line->mNode];
-    if (line->mTime + kOtherRunMs < latest) {
-      mGaps.push_back("The log of " + line->mNode +
-                      " goes back in time: it holds two runs.");
+    if (line->mTime + kNewRunBackstepMs < latest) {
+      mWarnings.push_back("The log of " + line->mNode +
+                          " goes back in time: it holds two runs.");
     }
     latest = line->mTime;
-    Take({line->mFields, line->mNode, LineText(line->mFields, "event"),
-          line->mTime});
+    ReadEvent({line->mFields, line->mNode, TextField(line->mFields, "event"),
+               line->mTime});
   }
 }
 
-void StepTrace::Take(const Line& aLine) {
+void StepTrace::ReadEvent(const Line& aLine) {
   if (aLine.mEvent == "item-run") {
-    TakeRun(aLine);
+    ReadRun(aLine);
     return;
   }
   if (aLine.mEvent == "page-listed") {
-    TakePage(aLine);
+    ReadPage(aLine);
     return;
   }
   if (aLine.mEvent == "step-accepted") {
@@ -89,22 +92,22 @@
   }
 }
 
-void StepTrace::TakeRun(const Line& aLine) {
+void StepTrace::ReadRun(const Line& aLine) {
   Step& step = mSteps[aLine.Text("step")];
   const Run run{aLine.Text("end"), aLine.mTime, aLine.Number("took_ms"),
                 aLine.Number("from_event"), aLine.Number("events")};
-  const int64_t begun = run.mEndedAt - run.mTook;
+  const int64_t startedAt = run.mEndedAt - run.mDuration;
   step.mEarliest =
-      step.mEarliest == 0 ? begun : std::min(step.mEarliest, begun);
+      step.mEarliest == 0 ? startedAt : std::min(step.mEarliest, startedAt);
   step.mRuns[aLine.Text("id")].push_back(run);
 }
 
-void StepTrace::TakePage(const Line& aLine) {
+void StepTrace::ReadPage(const Line& aLine) {
   Step& step = mSteps[aLine.Text("id")];
   const json::value* reached = aLine.mFields.if_contains("reached");
-  const bool now =
+  const bool targetReached =
       reached != nullptr && reached->is_bool() && reached->get_bool();
-  if (now && !step.mReached) {
+  if (targetReached && !step.mReached) {
     step.mReached = true;
     step.mListedAt = aLine.mTime;
     step.mListing = aLine.Number("store_ms");
@@ -116,9 +119,9 @@
   for (const auto& [id, step] : mSteps) {
     for (const auto& [item, runs] : step.mRuns) {
       for (const Run& run : runs) {
-        const int64_t events = run.mEvents - run.mFrom;
-        if (events >= kTellingEvents) {
-          paces.push_back(static_cast<double>(run.mTook) /
+        const int64_t events = run.mEvents - run.mFirstEvent;
+        if (events >= kMinEventsForPace) {
+          paces.push_back(static_cast<double>(run.mDuration) /
                           static_cast<double>(events));
         }
       }
@@ -128,11 +131,11 @@
     return 0;
   }
   std::sort(paces.begin(), paces.end());
-  const double place = kFastShare * static_cast<double>(paces.size() - 1);
-  return paces[static_cast<size_t>(place)];
+  const double index = kFastestFraction * static_cast<double>(paces.size() - 1);
+  return paces[static_cast<size_t>(index)];
 }
 
-std::string StepTrace::Deciding(const Step& aStep) {
+std::string StepTrace::LastCompletedItem(const Step& aStep) {
   std::string deciding;
   int64_t latest = 0;
   for (const auto& [item, runs] : aStep.mRuns) {
@@ -148,27 +151,27 @@
 
 StepPath StepTrace::PathOf(const Step& aStep, double aPace) {
   StepPath path = aStep.mPath;
-  path.mItem = Deciding(aStep);
+  path.mItem = LastCompletedItem(aStep);
   const std::vector<Run>& runs = aStep.mRuns.at(path.mItem);
-  const int64_t first = runs.front().mEndedAt - runs.front().mTook;
+  const int64_t first = runs.front().mEndedAt - runs.front().mDuration;
   path.mWeights = std::max<int64_t>(0, aStep.mEarliest - path.mAcceptedAt);
   path.mSlot = first - path.mAcceptedAt - path.mWeights;
   path.mEvents = runs.back().mEvents;
   path.mRuns = static_cast<int64_t>(runs.size());
-  int64_t made = 0;
-  int64_t ran = 0;
+  int64_t produced = 0;
+  int64_t runTime = 0;
   for (const Run& run : runs) {
-    made += run.mEvents - run.mFrom;
-    ran += run.mTook;
+    produced += run.mEvents - run.mFirstEvent;
+    runTime += run.mDuration;
   }
   const auto bound = [aPace](int64_t aEvents) {
     return std::llround(static_cast<double>(aEvents) * aPace);
   };
-  const int64_t again =
-      std::max<int64_t>(0, made - (path.mEvents - runs.front().mFrom));
-  path.mBound = bound(made - again);
-  path.mMoves = runs.back().mEndedAt - first - ran + bound(again);
-  path.mSlow = ran - path.mBound - bound(again);
+  const int64_t repeated = std::max<int64_t>(
+      0, produced - (path.mEvents - runs.front().mFirstEvent));
+  path.mBound = bound(produced - repeated);
+  path.mMoves = runs.back().mEndedAt - first - runTime + bound(repeated);
+  path.mSlow = runTime - path.mBound - bound(repeated);
   path.mListing = aStep.mListing;
   path.mScore = aStep.mListedAt - aStep.mListing - runs.back().mEndedAt;
   path.mRead = aStep.mEndedAt == 0 ? 0 : aStep.mEndedAt - aStep.mListedAt;
@@ -180,7 +183,7 @@
   const double pace = FastestPace();
   std::vector<StepPath> paths;
   for (const auto& [id, step] : mSteps) {
-    if (step.mAccepted && step.mReached && !Deciding(step).empty()) {
+    if (step.mAccepted && step.mReached && !LastCompletedItem(step).empty()) {
       paths.push_back(PathOf(step, pace));
     }
   }
@@ -191,8 +194,8 @@
   return paths;
 }
 
-std::vector<std::string> StepTrace::Gaps() const {
-  std::vector<std::string> gaps = mGaps;
+std::vector<std::string> StepTrace::Warnings() const {
+  std::vector<std::string> gaps = mWarnings;
   size_t unknown = 0;
   size_t open = 0;
   size_t clocks = 0;
@@ -203,8 +206,8 @@
         step.mEarliest + kClockSlackMs < step.mPath.mAcceptedAt;
     clocks += step.mAccepted && step.mEarliest > 0 && earlier ? 1 : 0;
   }
-  if (mBroken > 0) {
-    gaps.push_back(std::to_string(mBroken) + " lines can't be read.");
+  if (mUnparsedLines > 0) {
+    gaps.push_back(std::to_string(mUnparsedLines) + " lines can't be read.");
   }
   if (unknown > 0) {
     gaps.push_back(std::to_string(unknown) +
@@ -216,9 +219,10 @@
                    " steps did not reach their target in these logs.");
   }
   if (clocks > 0) {
-    gaps.push_back(std::to_string(clocks) +
-                   " steps have lines from before their acceptance: they ran "
-                   "while the store was away, or the hosts' clocks differ.");
+    gaps.push_back(
+        std::to_string(clocks) +
+        " steps have lines from before their acceptance: they ran "
+        "while the store was unreachable, or the hosts' clocks differ.");
   }
   return gaps;
 }
--- a/src/rillwall/step_trace.h
+++ b/src/rillwall/step_trace.h
@@ -1,9 +1,9 @@
 /// \file
-/// Where the time of rollout steps went, read from the logs of their owners.
+/// Computes the critical paths of rollout steps from the logs of the nodes.
 ///
-/// A step is as long as its critical path: the item that was whole last when
-/// its trainer could go on. The path is told in parts that add up to the time
-/// from the acceptance to the end.
+/// The critical path of a step is that of the item that was completed last
+/// before the trainer could continue. It is split into parts that add up to the
+/// time from the acceptance of the step until the trainer could continue.
 
 #pragma once
 
@@ -15,57 +15,58 @@
 
 namespace rillwall {
 
-/// One step's critical path. All times in ms.
+/// Critical path of one step. All times are in ms.
 struct StepPath {
   std::string mId;
   std::string mModel;
   int64_t mStep = 0;
-  int64_t mAcceptedAt = 0;  ///< wall clock of its owner
-  int64_t mStore = 0;       ///< its record was written, before the acceptance
-  std::string mItem;        ///< that decided
-  int64_t mEvents = 0;      ///< of its text
-  int64_t mRuns = 0;        ///< that its text took
-  int64_t mWeights = 0;     ///< until any item of the step ran
-  int64_t mSlot = 0;        ///< from then until this item ran
-  int64_t mBound = 0;       ///< its events at the pace of the fastest replicas
-  int64_t mSlow = 0;        ///< what its runs took beyond that
-  int64_t mMoves = 0;       ///< between its runs, and events made again
-  int64_t mScore = 0;       ///< until the write that listed it began
-  int64_t mListing = 0;     ///< that write
-  int64_t mRead = 0;        ///< until the trainer ended the step
-  int64_t mLate = 0;        ///< listing after the due time; negative: before
+  int64_t mAcceptedAt = 0;  ///< wall clock of the owner
+  int64_t mStore = 0;       ///< writing its record, before the acceptance
+  std::string mItem;        ///< id of the item on the critical path
+  int64_t mEvents = 0;      ///< number of events in the item's text
+  int64_t mRuns = 0;        ///< number of runs of the item
+  int64_t mWeights = 0;     ///< from the acceptance until an item ran
+  int64_t mSlot = 0;        ///< from the end of mWeights until mItem ran
+  int64_t mBound = 0;       ///< the item's events at the fastest replicas' pace
+  int64_t mSlow = 0;        ///< time of its runs beyond mBound
+  int64_t mMoves = 0;       ///< gaps between its runs, and repeated events
+  int64_t mScore = 0;       ///< from its last run until its listing began
+  int64_t mListing = 0;     ///< the write that listed it
+  int64_t mRead = 0;        ///< from the listing until the step was ended
+  int64_t mLate = 0;        ///< listing after the due time; negative if before
 
-  /// \return from the acceptance until the trainer could go on
+  /// \return time from the acceptance until the trainer could continue
   int64_t Reached() const {
     return mWeights + mSlot + mBound + mSlow + mMoves + mScore + mListing;
   }
   bool operator==(const StepPath&) const = default;
 };
 
-/// A part of the path, for tables: its name and its member.
+/// A part of the critical path: its name in tables and its member.
 struct StepPart {
   const char* mName;
   int64_t StepPath::*mValue;
 };
-/// \return the parts in the order in which they pass
+/// \return the parts in chronological order
 const std::vector<StepPart>& StepParts();
 
-/// Gathers the lines that tell of steps.
+/// Collects the log lines about steps.
 class StepTrace {
  public:
-  /// Reads one node's log: JSON lines, each with words before it or not.
+  /// Reads the log of one node. Other text may precede the JSON of a line.
+  /// \param aName name of the file
   void Read(std::istream& aLog, const std::string& aName);
-  /// \return steps whose target was reached, in the order of acceptance
+  /// \return the steps that reached their target, in the order of acceptance
   std::vector<StepPath> Paths() const;
-  /// \return what a reader should know: lines or steps that are left out
-  std::vector<std::string> Gaps() const;
+  /// \return messages about lines and steps that were left out or are doubtful
+  std::vector<std::string> Warnings() const;
 
  private:
   struct Run {
     std::string mEnd;
     int64_t mEndedAt = 0;
-    int64_t mTook = 0;
-    int64_t mFrom = 0;
+    int64_t mDuration = 0;
+    int64_t mFirstEvent = 0;
     int64_t mEvents = 0;
   };
   struct Step {
@@ -77,25 +78,25 @@
     int64_t mListing = 0;
     bool mReached = false;
     int64_t mEndedAt = 0;
-    int64_t mEarliest = 0;  ///< its earliest line of any node
+    int64_t mEarliest = 0;  ///< earliest start of a run on any node
     std::map<std::string, std::vector<Run>> mRuns;  ///< by item
   };
   struct Line;
 
-  void Take(const Line& aLine);
-  void TakeRun(const Line& aLine);
-  void TakePage(const Line& aLine);
-  /// \return ms an event of the fastest replicas, 0 if no run tells
+  void ReadEvent(const Line& aLine);
+  void ReadRun(const Line& aLine);
+  void ReadPage(const Line& aLine);
+  /// \return ms per event of the fastest replicas, 0 if no run is long enough
   double FastestPace() const;
-  /// \return the item that was whole last at the decisive listing, empty if
-  /// none is known
-  static std::string Deciding(const Step& aStep);
+  /// \return the item that was completed last before the listing with which the
+  /// step reached its target, empty if none is known
+  static std::string LastCompletedItem(const Step& aStep);
   static StepPath PathOf(const Step& aStep, double aPace);
 
   std::map<std::string, Step> mSteps;
-  std::map<std::string, int64_t> mLatest;  ///< time by node
-  std::vector<std::string> mGaps;
-  uint64_t mBroken = 0;
+  std::map<std::string, int64_t> mLatest;  ///< time of the last line, by node
+  std::vector<std::string> mWarnings;
+  uint64_t mUnparsedLines = 0;
 };
 
 }  // namespace rillwall
--- a/src/rillwall/step_trace_test.cpp
+++ b/src/rillwall/step_trace_test.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// Tests of where the time of steps went, with the logs of a run whose causes
-/// are known.
+/// Tests of StepTrace with logs whose critical path is known.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -14,7 +13,7 @@
 
 constexpr int64_t kStart = 1000000;
 
-/// One line, with its time in ms after the start.
+/// \return a log line with its time in ms after kStart
 std::string Line(int64_t aTime, const std::string& aFields) {
   return "{\"time_ms\":" + std::to_string(kStart + aTime) + "," + aFields +
          "}\n";
@@ -45,9 +44,10 @@
   return Line(aTime, "\"event\":\"step-ended\",\"id\":\"s\"");
 }
 
-/// Weights come after 900 ms; the item that decides waits 100 ms more, runs on
-/// a replica that is slower by a half, is broken, loses two events and goes on
-/// 50 ms later at one of 40 ms an event.
+/// Log of a step. The weights arrive after 900 ms. The item on the critical
+/// path waits another 100 ms for a slot and runs on a replica that takes 60 ms
+/// per event instead of 40 ms. There it breaks off and loses two events; 50 ms
+/// later it continues on a replica that takes 40 ms per event.
 std::string KnownRun() {
   return Accepted("s") + Run(1700, "short", "whole", 800, 0, 20) +
          Run(2200, "long", "broken", 1200, 0, 20) +
@@ -59,13 +59,13 @@
 
 class StepTraceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StepTraceTest);
-  CPPUNIT_TEST(PartsOfAKnownRun);
-  CPPUNIT_TEST(PartsAddUp);
-  CPPUNIT_TEST(CutLineIsToldAndTheRestRead);
-  CPPUNIT_TEST(StepOfAMissingLogIsTold);
-  CPPUNIT_TEST(TwoRunsInOneLogAreTold);
-  CPPUNIT_TEST(ClocksThatDifferAreTold);
-  CPPUNIT_TEST(StepThatIsOpenIsLeftOut);
+  CPPUNIT_TEST(SplitsAKnownRunIntoItsParts);
+  CPPUNIT_TEST(PartsAddUpToTheTotal);
+  CPPUNIT_TEST(TruncatedLineIsReportedAndTheRestIsRead);
+  CPPUNIT_TEST(StepWithoutItsOwnersLogIsReported);
+  CPPUNIT_TEST(TwoRunsInOneLogAreReported);
+  CPPUNIT_TEST(ClockDifferenceIsReported);
+  CPPUNIT_TEST(UnreachedStepIsOmitted);
   CPPUNIT_TEST_SUITE_END();
 
   StepTrace mTrace;
@@ -74,14 +74,14 @@
     std::istringstream log(aText);
     mTrace.Read(log, aName);
   }
-  bool Tells(const std::string& aWhat) const {
-    const std::vector<std::string> gaps = mTrace.Gaps();
+  bool Warns(const std::string& aWhat) const {
+    const std::vector<std::string> gaps = mTrace.Warnings();
     return std::any_of(gaps.begin(), gaps.end(), [&](const auto& aGap) {
       return aGap.find(aWhat) != std::string::npos;
     });
   }
 
-  void PartsOfAKnownRun() {
+  void SplitsAKnownRunIntoItsParts() {
     Read(KnownRun());
     const std::vector<StepPath> paths = mTrace.Paths();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, paths.size());
@@ -104,44 +104,44 @@
     expected.mRead = 280;
     expected.mLate = 3120 - 7500;
     CPPUNIT_ASSERT(expected == paths[0]);
-    CPPUNIT_ASSERT(mTrace.Gaps().empty());
+    CPPUNIT_ASSERT(mTrace.Warnings().empty());
   }
 
-  void PartsAddUp() {
+  void PartsAddUpToTheTotal() {
     Read(KnownRun());
     CPPUNIT_ASSERT_EQUAL(int64_t{3120}, mTrace.Paths()[0].Reached());
   }
 
-  void CutLineIsToldAndTheRestRead() {
+  void TruncatedLineIsReportedAndTheRestIsRead() {
     Read(KnownRun() + "{\"time_ms\":1,\"event\":\"item-r\n" + "noise\n");
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTrace.Paths().size());
-    CPPUNIT_ASSERT(Tells("1 lines can't be read"));
+    CPPUNIT_ASSERT(Warns("1 lines can't be read"));
   }
 
-  void StepOfAMissingLogIsTold() {
+  void StepWithoutItsOwnersLogIsReported() {
     Read(Run(1000, "i", "whole", 900, 0, 20));
     CPPUNIT_ASSERT(mTrace.Paths().empty());
-    CPPUNIT_ASSERT(Tells("logs are missing"));
+    CPPUNIT_ASSERT(Warns("logs are missing"));
   }
 
-  void TwoRunsInOneLogAreTold() {
+  void TwoRunsInOneLogAreReported() {
     Read(Line(200000, "\"event\":\"start\"") + KnownRun());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTrace.Paths().size());
-    CPPUNIT_ASSERT(Tells("holds two runs"));
+    CPPUNIT_ASSERT(Warns("holds two runs"));
   }
 
-  void ClocksThatDifferAreTold() {
+  void ClockDifferenceIsReported() {
     Read(KnownRun());
     Read(Run(-4000, "other", "whole", 800, 0, 20), "n2.log");
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mTrace.Paths().size());
-    CPPUNIT_ASSERT(Tells("clocks differ"));
+    CPPUNIT_ASSERT(Warns("clocks differ"));
   }
 
-  void StepThatIsOpenIsLeftOut() {
+  void UnreachedStepIsOmitted() {
     Read(Accepted("s") + Run(1700, "short", "whole", 800, 0, 20) +
          Page(1750, false));
     CPPUNIT_ASSERT(mTrace.Paths().empty());
-    CPPUNIT_ASSERT(Tells("did not reach"));
+    CPPUNIT_ASSERT(Warns("did not reach"));
   }
 };
 
--- a/src/rillwall/tasks.h
+++ b/src/rillwall/tasks.h
@@ -1,5 +1,5 @@
 /// \file
-/// Running several coroutines at once and waiting for all of them.
+/// Runs several coroutines concurrently and waits for all of them.
 
 #pragma once
 
@@ -18,15 +18,16 @@
 
 namespace asio = boost::asio;
 
-/// Starts a coroutine that nobody waits for.
-/// Not a template: g++ 12 emits such a coroutine differently in each unit that
-/// has it inside a template, and the linker then refuses them.
+/// Starts a detached coroutine. This function is not inline: g++ 12 emits a
+/// detached coroutine inside a template differently in each translation unit,
+/// and the linker refuses the duplicates.
 void SpawnDetached(const asio::any_io_executor& aExecutor,
                    asio::awaitable<void> aRun);
 
 namespace internal {
 
-/// Results of tasks, all on one strand, and the timer that wakes the waiter.
+/// Results of tasks that all run on one strand, and the timer that wakes the
+/// coroutine that waits for them.
 template <class Value>
 struct Gathered {
   explicit Gathered(const asio::any_io_executor& aExecutor, size_t aCount)
@@ -69,8 +70,8 @@
 
 }  // namespace internal
 
-/// Runs all tasks at once on a strand.
-/// \return their results in the order of the tasks
+/// Runs all tasks concurrently on a strand.
+/// \return the results in the order of the tasks
 template <class Strand, class Value>
 asio::awaitable<std::vector<Value>> RunAll(
     const Strand& aStrand, std::vector<asio::awaitable<Value>> aTasks) {
--- a/src/rillwall/trainer_api.cpp
+++ b/src/rillwall/trainer_api.cpp
@@ -15,13 +15,13 @@
 constexpr Millis kOwnerTimeout{40000};
 constexpr Millis kOwnerPause{200};
 constexpr Millis kFetchTimeout{5000};
-constexpr Millis kLostPause{100};
+constexpr Millis kLostGroupPause{100};
 constexpr Millis kRetryAfter{1000};
-constexpr int64_t kMaxWait = 30000;
-constexpr int64_t kDefaultWait = 10000;
+constexpr int64_t kMaxWaitMs = 30000;
+constexpr int64_t kDefaultWaitMs = 10000;
 constexpr int64_t kMaxGroupsPerPull = 64;
 constexpr int64_t kMaxTokens = 1 << 20;
-constexpr size_t kMaxTrainerName = 128;
+constexpr size_t kMaxTrainerNameLength = 128;
 
 json::object EncodeSample(const wire::Sample& aSample) {
   json::object sample;
@@ -67,8 +67,8 @@
 asio::awaitable<Result<HttpResponse>> TrainerApi::Route(
     const HttpRequest& aRequest, const std::vector<std::string>& aParts) {
   const Error unknown(ErrorKind::NotFound,
-                      "There is no such path; docs/API.md lists them.");
-  if (aParts.size() < 2 || aParts[0].size() > kMaxTrainerName) {
+                      "Unknown path; docs/API.md lists the paths of the API.");
+  if (aParts.size() < 2 || aParts[0].size() > kMaxTrainerNameLength) {
     co_return unknown;
   }
   const std::string& trainer = aParts[0];
@@ -77,9 +77,10 @@
   if (!who) {
     co_return who.error();
   }
-  if (!who->mOpen && who->mName != trainer) {
-    co_return Error(ErrorKind::Forbidden,
-                    "This token is not that of the trainer '" + trainer + "'.");
+  if (!who->mUnauthenticated && who->mName != trainer) {
+    co_return Error(
+        ErrorKind::Forbidden,
+        "This token does not belong to the trainer '" + trainer + "'.");
   }
   if (policies->Rules().Trainer(trainer) == nullptr) {
     co_return Error(ErrorKind::NotFound, "No policy names the trainer '" +
@@ -165,7 +166,7 @@
   spec.mPrompts = reader.Strings("prompts");
   const size_t groups = spec.mPrompts.size();
   if (groups == 0 || groups > static_cast<size_t>(kMaxStepGroups)) {
-    reader.Fail("prompts", "must hold one text a group, at least one");
+    reader.Fail("prompts", "must contain one text per group, at least one");
   }
   if (reader.Failed()) {
     co_return reader.Failure();
@@ -180,24 +181,24 @@
   co_return HttpResponse::Json(200, EncodeState(spec.mId, reply->step_state()));
 }
 
-// The owner may be dying while it is asked: it is asked again, or the next one
-// once the membership has changed, until the time is up.
+// Calls the owner of a step. If the owner fails, retries until aEnd; once the
+// membership has changed, the retries go to the next owner.
 asio::awaitable<Result<wire::PeerReply>> TrainerApi::CallOwner(
     StepId aId, wire::PeerRequest aRequest, Millis aEnd) {
   while (true) {
     const std::vector<Member> owners = co_await mNode.OnControl(
         [&] { return DutyOwners(mNode.Members().Live(), aId.Duty(), 1); });
     Result<wire::PeerReply> reply =
-        Error(ErrorKind::Unavailable, "No node can own the step now.");
+        Error(ErrorKind::Unavailable, "No live node can own the step.");
     if (!owners.empty()) {
       reply = co_await mNode.CallPeer(owners[0].mId, owners[0].mRpc, aRequest,
                                       kOwnerTimeout);
     }
-    const bool gone =
+    const bool ownerUnreachable =
         !reply && (reply.error().Kind() == ErrorKind::ConnectionLost ||
                    reply.error().Kind() == ErrorKind::Timeout ||
                    reply.error().Kind() == ErrorKind::Unavailable);
-    if (!gone) {
+    if (!ownerUnreachable) {
       co_return reply;
     }
     if (mNode.Now() + kOwnerPause >= aEnd) {
@@ -223,7 +224,7 @@
   pull.mVersion = ReadInt(reader, "version", 0, INT64_MAX, 0);
   pull.mMaxGroups = ReadInt(reader, "max_groups", 1, kMaxGroupsPerPull, 16);
   pull.mEnd =
-      start + Millis(ReadInt(reader, "wait_ms", 0, kMaxWait, kDefaultWait));
+      start + Millis(ReadInt(reader, "wait_ms", 0, kMaxWaitMs, kDefaultWaitMs));
   if (reader.Failed()) {
     co_return reader.Failure();
   }
@@ -245,7 +246,7 @@
       co_return Deliver(pull, *round, *held);
     }
     lost = std::move(round->mLost);
-    co_await Node::Sleep(kLostPause);
+    co_await Node::Sleep(kLostGroupPause);
   }
 }
 
@@ -342,7 +343,8 @@
   for (const wire::FetchedGroup& group : aRound.mGroups) {
     mNode.Meter().Add(Counter::ChecksExactlyOnce);
     if (next.Has(group.group())) {
-      mNode.BrokenInvariant("A pull was given a group that its receipt names.");
+      mNode.ReportBrokenInvariant(
+          "A pull was assigned a group that its receipt lists.");
       continue;
     }
     next.Add(group.group());
--- a/src/rillwall/trainer_api.h
+++ b/src/rillwall/trainer_api.h
@@ -1,9 +1,9 @@
 /// \file
-/// The API towards trainers: versions, steps and pulls (docs/API.md).
+/// HTTP API for trainers: weight versions, steps and pulls (docs/API.md).
 ///
-/// Any node answers. It relays opening and planning to the step's owner,
-/// fetches the samples from the runners that hold them, and checks staleness
-/// once more at the moment of delivery.
+/// Any node handles these requests. It forwards the opening of steps and the
+/// planning of pulls to the owner of the step, fetches the samples from the
+/// runners that hold them, and checks staleness again at delivery.
 
 #pragma once
 
@@ -18,16 +18,17 @@
 
 namespace rillwall {
 
+/// Handles the requests under /v1/trainers.
 class TrainerApi {
  public:
   TrainerApi(Node& aNode, StepOwner& aSteps, WeightController& aWeights);
-  /// Answers a request whose path is /v1/trainers/{trainer}/...
-  /// \param aParts the path's parts after "trainers"
+  /// Handles a request whose path is /v1/trainers/{trainer}/...
+  /// \param aParts segments of the path after "trainers"
   asio::awaitable<HttpResponse> Handle(const HttpRequest& aRequest,
                                        std::vector<std::string> aParts);
 
  private:
-  /// A pull as the trainer asks for it.
+  /// A parsed pull request.
   struct Pull {
     StepId mId;
     std::string mReceipt;
@@ -35,7 +36,8 @@
     int64_t mMaxGroups = 0;
     Millis mEnd;
   };
-  /// What one round of a pull brought.
+  /// Result of one round of a pull: the plan, the groups that were fetched and
+  /// those that could not be fetched or are stale.
   struct Round {
     wire::PullPlan mPlan;
     std::vector<wire::FetchedGroup> mGroups;
--- a/src/rillwall/upstream_keeper.cpp
+++ b/src/rillwall/upstream_keeper.cpp
@@ -27,27 +27,29 @@
       Publish();
     }
   });
-  // A node that joined or left changes who routes to which engine.
+  // A change of the membership changes which nodes route to which engines.
   mGossip.OnMember([this](const Member&) { Publish(); });
   mNode.SpawnControl(ListLoop());
   mNode.SpawnControl(LoadLoop());
 }
 
-void UpstreamKeeper::SawLeaving(const std::string& aUpstream) {
+void UpstreamKeeper::RecordLeaving(const std::string& aUpstream) {
   const auto found = std::ranges::find(mList, aUpstream, &Upstream::mId);
   if (found == mList.end() || IsLeaving(*found)) {
     return;
   }
   Log(Part::Upstream).Info("Upstream " + aUpstream + " is leaving.");
-  // The revision is the process's generation plus one, so that zero counts.
+  // The revision of the fact is the generation of the upstream's process plus
+  // one, so that generation zero is covered too.
   mGossip.SetFact({kLeavingPrefix + aUpstream, found->mGeneration + 1, ""});
   Publish();
 }
 
 bool UpstreamKeeper::IsLeaving(const Upstream& aUpstream) const {
   const Fact* fact = mNode.Members().FindFact(kLeavingPrefix + aUpstream.mId);
-  const bool told = fact != nullptr && fact->mRevision > aUpstream.mGeneration;
-  return aUpstream.mLeaving || told;
+  const bool gossiped =
+      fact != nullptr && fact->mRevision > aUpstream.mGeneration;
+  return aUpstream.mLeaving || gossiped;
 }
 
 std::vector<Upstream> UpstreamKeeper::Engines() const {
@@ -91,26 +93,28 @@
   mList = std::move(*list);
   for (const Upstream& upstream : mList) {
     if (upstream.mLeaving) {
-      SawLeaving(upstream.mId);
+      RecordLeaving(upstream.mId);
     }
   }
   Publish();
 }
 
-// With many engines a node routes to a part of them only, chosen so that the
-// nodes' parts cover all engines evenly; it polls no others.
+// If there are more engines than the aperture, a node polls and routes to a
+// subset only. Rendezvous hashing makes the subsets of all nodes cover the
+// engines evenly.
 std::vector<Upstream> UpstreamKeeper::Aperture() const {
   std::vector<Upstream> engines = Engines();
-  const size_t most = static_cast<size_t>(mNode.Settings().mAperture);
-  if (engines.size() <= most) {
+  const size_t limit = static_cast<size_t>(mNode.Settings().mAperture);
+  if (engines.size() <= limit) {
     return engines;
   }
   const std::vector<Member> live = mNode.Members().Live();
   std::vector<Upstream> chosen;
-  const size_t copies = (live.size() * most) / engines.size() + 1;
+  const size_t copies = (live.size() * limit) / engines.size() + 1;
   for (const Upstream& engine : engines) {
-    // The engine's duty has the same name, so that its controller, the first of
-    // the owners, is among those that poll it and reads its orders' effect.
+    // Uses the name of the engine's duty, so that the engine's controller, the
+    // first of the owners, also polls the engine and sees the effect of its
+    // orders.
     const std::vector<Member> owners =
         DutyOwners(live, "engine/" + engine.mId, copies);
     const bool ours = std::ranges::any_of(owners, [this](const Member& aOwner) {
@@ -125,7 +129,8 @@
 
 asio::awaitable<void> UpstreamKeeper::LoadLoop() {
   while (true) {
-    // Not waited for: one frozen engine must not delay the others' reports.
+    // The polls run detached, so that one engine that hangs does not delay the
+    // reports of the others.
     for (const Upstream& engine : mPolled) {
       mNode.SpawnControl(PollLoad(engine));
     }
@@ -153,7 +158,7 @@
   mReports[aEngine.mId] = *report;
   mNode.Calls().Report(aEngine.mId, *report);
   if (report->mLeaving) {
-    SawLeaving(aEngine.mId);
+    RecordLeaving(aEngine.mId);
   }
   co_return;
 }
--- a/src/rillwall/upstream_keeper.h
+++ b/src/rillwall/upstream_keeper.h
@@ -1,9 +1,10 @@
 /// \file
-/// Keeps the node's table of upstreams: the platform's host list, load reports
-/// of the engines that this node routes to, and who is leaving.
+/// Keeps the node's table of upstreams up to date.
 ///
-/// The host list lags, so leaving is learned from every source (list, load
-/// report, refusal) and spread to all nodes as a fact.
+/// The sources are the platform's host list and the load reports of the engines
+/// to which this node routes. The host list lags, so a node that sees an
+/// upstream leave in the list or in a load report publishes this to all nodes
+/// as a fact.
 
 #pragma once
 
@@ -17,17 +18,20 @@
 
 namespace rillwall {
 
+/// Polls the host list and the engines, and publishes the upstream table.
 class UpstreamKeeper {
  public:
   UpstreamKeeper(Node& aNode, GossipLoop& aGossip);
   void Start();
 
-  /// An upstream was seen to be leaving; all nodes are told. On the control
-  /// strand.
-  void SawLeaving(const std::string& aUpstream);
-  /// \return the last load report of each polled engine; on the control strand
+  /// Records that an upstream is leaving and tells all nodes. Call on the
+  /// control strand only.
+  void RecordLeaving(const std::string& aUpstream);
+  /// Call on the control strand only.
+  /// \return the last load report of each polled engine, by id
   const std::map<std::string, LoadReport>& Reports() const { return mReports; }
-  /// \return engines of the host list; on the control strand
+  /// Call on the control strand only.
+  /// \return the engines in the host list
   std::vector<Upstream> Engines() const;
   bool IsLeaving(const Upstream& aUpstream) const;
 
@@ -42,10 +46,11 @@
   Node& mNode;
   GossipLoop& mGossip;
   std::vector<Upstream> mList;
-  /// The part of the engines that this node polls and routes to; it changes
-  /// with the list and the members only, and costs a hash for each pair.
+  /// The engines that this node polls and routes to. Cached, because computing
+  /// them takes one hash for each pair of engine and member; they change only
+  /// with the host list and the members.
   std::vector<Upstream> mPolled;
-  std::string mListTag;
+  std::string mListTag;  ///< ETag of the host list
   std::map<std::string, LoadReport> mReports;
   std::map<std::string, std::shared_ptr<UpstreamLoad>> mLoads;
 };
--- a/src/rillwall/upstream_table.cpp
+++ b/src/rillwall/upstream_table.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr int64_t kFailuresToOpen = 3;
-constexpr Millis kOpenSpan{1000};
+constexpr Millis kCircuitOpenTime{1000};
 
-bool Takes(const UpstreamEntry& aEntry, Millis aNow) {
+bool AcceptsCalls(const UpstreamEntry& aEntry, Millis aNow) {
   const int64_t openUntil =
       aEntry.mLoad->mOpenUntil.load(std::memory_order_relaxed);
   return !aEntry.mLeaving && openUntil <= aNow.Count();
@@ -45,33 +45,34 @@
   std::vector<const UpstreamEntry*> candidates;
   for (const UpstreamEntry& entry : mEntries) {
     const bool named = aName.empty() || entry.mUpstream.mName == aName;
-    if (entry.mUpstream.mKind == aKind && named && Takes(entry, aNow)) {
+    if (entry.mUpstream.mKind == aKind && named && AcceptsCalls(entry, aNow)) {
       candidates.push_back(&entry);
     }
   }
   if (candidates.empty()) {
     return nullptr;
   }
-  constexpr int kHalf = 32;
-  const UpstreamEntry* one = candidates[(aRandom >> kHalf) % candidates.size()];
-  const UpstreamEntry* two =
+  constexpr int kHalfBits = 32;
+  const UpstreamEntry* first =
+      candidates[(aRandom >> kHalfBits) % candidates.size()];
+  const UpstreamEntry* second =
       candidates[(aRandom & 0xffffffffU) % candidates.size()];
-  if (InFlight(*one) != InFlight(*two)) {
-    return InFlight(*one) < InFlight(*two) ? one : two;
+  if (InFlight(*first) != InFlight(*second)) {
+    return InFlight(*first) < InFlight(*second) ? first : second;
   }
-  return two->mUpstream.mZone == aZone ? two : one;
+  return second->mUpstream.mZone == aZone ? second : first;
 }
 
-UpstreamUse::UpstreamUse(std::shared_ptr<UpstreamLoad> aLoad)
+InFlightCall::InFlightCall(std::shared_ptr<UpstreamLoad> aLoad)
     : mLoad(std::move(aLoad)) {
   mLoad->mInFlight.fetch_add(1, std::memory_order_relaxed);
 }
 
-UpstreamUse::~UpstreamUse() {
+InFlightCall::~InFlightCall() {
   mLoad->mInFlight.fetch_sub(1, std::memory_order_relaxed);
 }
 
-void UpstreamUse::End(bool aFailed, Millis aNow) {
+void InFlightCall::End(bool aFailed, Millis aNow) {
   if (!aFailed) {
     mLoad->mFailures.store(0, std::memory_order_relaxed);
     return;
@@ -79,7 +80,7 @@
   const int64_t failures =
       mLoad->mFailures.fetch_add(1, std::memory_order_relaxed) + 1;
   if (failures >= kFailuresToOpen) {
-    mLoad->mOpenUntil.store((aNow + kOpenSpan).Count(),
+    mLoad->mOpenUntil.store((aNow + kCircuitOpenTime).Count(),
                             std::memory_order_relaxed);
   }
 }
--- a/src/rillwall/upstream_table_test.cpp
+++ b/src/rillwall/upstream_table_test.cpp
@@ -6,10 +6,10 @@
 
 class UpstreamTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(UpstreamTableTest);
-  CPPUNIT_TEST(TestFind);
-  CPPUNIT_TEST(TestLeavingIsNotChosen);
-  CPPUNIT_TEST(TestFewerCallsInFlight);
-  CPPUNIT_TEST(TestFailuresOpenTheCircuit);
+  CPPUNIT_TEST(FindLooksUpById);
+  CPPUNIT_TEST(LeavingUpstreamIsNotChosen);
+  CPPUNIT_TEST(FewerCallsInFlightIsPreferred);
+  CPPUNIT_TEST(FailuresOpenTheCircuit);
   CPPUNIT_TEST_SUITE_END();
 
   static UpstreamEntry Entry(const std::string& aId, bool aLeaving) {
@@ -22,8 +22,8 @@
     return entry;
   }
 
-  // How often the first entry is chosen in all ways to draw two.
-  static int Choices(const UpstreamTable& aTable, Millis aNow) {
+  // Counts how often the first entry is chosen over all pairs of random picks.
+  static int CountFirstChosen(const UpstreamTable& aTable, Millis aNow) {
     int chosen = 0;
     for (uint64_t one = 0; one < 2; ++one) {
       for (uint64_t two = 0; two < 2; ++two) {
@@ -36,34 +36,34 @@
   }
 
  public:
-  void TestFind() {
+  void FindLooksUpById() {
     const UpstreamTable table({Entry("b", false), Entry("a", false)});
     CPPUNIT_ASSERT(table.Find("a") == &table.Entries()[0]);
     CPPUNIT_ASSERT(table.Find("c") == nullptr);
   }
 
-  void TestLeavingIsNotChosen() {
+  void LeavingUpstreamIsNotChosen() {
     const UpstreamTable table({Entry("a", true), Entry("b", false)});
-    CPPUNIT_ASSERT_EQUAL(0, Choices(table, Millis(0)));
+    CPPUNIT_ASSERT_EQUAL(0, CountFirstChosen(table, Millis(0)));
     const UpstreamTable none({Entry("a", true)});
     CPPUNIT_ASSERT(none.Choose(UpstreamKind::Service, "ledger", "", 0,
                                Millis(0)) == nullptr);
   }
 
-  void TestFewerCallsInFlight() {
+  void FewerCallsInFlightIsPreferred() {
     const UpstreamTable table({Entry("a", false), Entry("b", false)});
-    const UpstreamUse use(table.Entries()[1].mLoad);
-    CPPUNIT_ASSERT_EQUAL(3, Choices(table, Millis(0)));
+    const InFlightCall inFlight(table.Entries()[1].mLoad);
+    CPPUNIT_ASSERT_EQUAL(3, CountFirstChosen(table, Millis(0)));
   }
 
-  void TestFailuresOpenTheCircuit() {
+  void FailuresOpenTheCircuit() {
     const UpstreamTable table({Entry("a", false), Entry("b", false)});
     for (int i = 0; i < 3; ++i) {
-      UpstreamUse use(table.Entries()[0].mLoad);
-      use.End(true, Millis(0));
+      InFlightCall inFlight(table.Entries()[0].mLoad);
+      inFlight.End(true, Millis(0));
     }
-    CPPUNIT_ASSERT_EQUAL(0, Choices(table, Millis(1)));
-    CPPUNIT_ASSERT(Choices(table, Millis(5000)) > 0);
+    CPPUNIT_ASSERT_EQUAL(0, CountFirstChosen(table, Millis(1)));
+    CPPUNIT_ASSERT(CountFirstChosen(table, Millis(5000)) > 0);
   }
 };
 
--- a/src/rillwall/weight_controller.cpp
+++ b/src/rillwall/weight_controller.cpp
@@ -16,11 +16,12 @@
 constexpr const char* kFactPrefix = "version/";
 constexpr const char* kKvPrefix = "rillwall/version/";
 constexpr const char* kFencePrefix = "rillwall/fence/";
-constexpr Millis kTick{100};
-constexpr Millis kKvPause{1000};
-// 600 engines drawn for within this time are 200 writes a second.
-constexpr Millis kDrawSpread{3000};
-constexpr Millis kDrawSettle{2000};
+constexpr Millis kTickPeriod{100};
+constexpr Millis kKvRetryPause{1000};
+// Spreads the writes when one node or fleet acquires many tokens: for 600
+// engines this makes 200 writes per second.
+constexpr Millis kFenceJitter{3000};
+constexpr Millis kFenceDelay{2000};
 constexpr Millis kOrderTimeout{3000};
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
@@ -50,34 +51,34 @@
 
 }  // namespace
 
-/// Everything here runs on the control strand.
+/// All members are used on the control strand only.
 struct WeightController::Impl {
   Node& mNode;
   GossipLoop& mGossip;
   UpstreamKeeper& mUpstreams;
   std::map<std::string, SwapPlan> mPlans;    ///< by model
   std::map<std::string, Millis> mLearnedAt;  ///< by fact key
-  std::map<std::string, uint64_t> mFences;   ///< by engine of the duty
-  std::set<std::string> mDrawing;            ///< engines whose fence is drawn
-  std::set<std::string> mPersisting;         ///< models being written
-  std::set<std::string> mDuties;             ///< engines of this controller
-  std::vector<std::string> mEngineIds;       ///< that the duties were made for
+  std::map<std::string, uint64_t> mFences;   ///< fencing tokens, by engine
+  std::set<std::string> mAcquiring;   ///< engines whose token is being acquired
+  std::set<std::string> mPersisting;  ///< models whose version is being written
+  std::set<std::string> mDuties;      ///< engines that this node controls
+  std::vector<std::string> mEngineIds;  ///< engines considered for mDuties
   bool mMembersChanged = true;
   std::mt19937_64 mRandom{std::random_device()()};
   Millis mFencesConfirmedAt;
-  bool mConfirming = false;
+  bool mFenceCheckRunning = false;
 
   asio::awaitable<void> TickLoop();
   asio::awaitable<void> RestoreLoop();
   asio::awaitable<void> Persist(std::string aModel);
-  asio::awaitable<void> DrawFence(std::string aEngine);
+  asio::awaitable<void> AcquireFence(std::string aEngine);
   asio::awaitable<void> ConfirmFences();
   asio::awaitable<void> Send(SwapOrder aOrder, Upstream aEngine,
                              WeightVersion aVersion);
   void TickModel(const std::string& aModel,
                  const std::vector<Upstream>& aEngines);
-  void ReviewDuties(const std::vector<Upstream>& aEngines);
-  void DrawMissingFences();
+  void ReviewOwnership(const std::vector<Upstream>& aEngines);
+  void AcquireMissingFences();
   std::optional<WeightVersion> Newest(const std::string& aModel) const;
 };
 
@@ -108,7 +109,7 @@
     return Error(ErrorKind::Stale,
                  "Version " + std::to_string(newest->mVersion) + " of '" +
                      aVersion.mModel +
-                     "' was announced already; take a greater number.");
+                     "' was already announced; use a greater number.");
   }
   const std::string key = kFactPrefix + aVersion.mModel;
   mImpl->mGossip.SetFact(
@@ -131,8 +132,9 @@
   return fact == nullptr ? std::nullopt : Decode(aModel, fact->mValue);
 }
 
-// The nodes hold the newest version among them; the key-value service keeps it
-// for a time when all are restarted. Written until it has it or a newer one.
+// Gossip keeps the newest version while any node runs; the key-value service
+// keeps it for a restart of the whole fleet. Retries until the service has this
+// version or a newer one.
 asio::awaitable<void> WeightController::Impl::Persist(std::string aModel) {
   if (!mPersisting.insert(aModel).second) {
     co_return;
@@ -142,24 +144,25 @@
     const Result<KvRange> range =
         co_await mNode.Kv().Range(kKvPrefix + aModel, false);
     if (!range) {
-      co_await Node::Sleep(kKvPause);
+      co_await Node::Sleep(kKvRetryPause);
       continue;
     }
     int64_t revision = 0;
     if (!range->mEntries.empty()) {
       const KvEntry& entry = range->mEntries.front();
-      const std::optional<WeightVersion> kept = Decode(aModel, entry.mValue);
+      const std::optional<WeightVersion> stored = Decode(aModel, entry.mValue);
       revision = entry.mModRevision;
-      if (kept && newest && kept->mVersion >= newest->mVersion) {
+      if (stored && newest && stored->mVersion >= newest->mVersion) {
         break;
       }
     }
     const Result<KvSwap> swap = co_await mNode.Kv().CompareAndSwap(
         kKvPrefix + aModel, revision, Encode(*newest), 0);
     if (!swap) {
-      co_await Node::Sleep(kKvPause);
+      co_await Node::Sleep(kKvRetryPause);
     }
-    // Read again: another node or a newer version may have come between.
+    // Reads again, because another node may have written meanwhile, or a newer
+    // version may have been announced.
   }
   mPersisting.erase(aModel);
 }
@@ -171,22 +174,22 @@
       for (const KvEntry& entry : range->mEntries) {
         const std::string model =
             entry.mKey.substr(std::string(kKvPrefix).size());
-        const std::optional<WeightVersion> kept = Decode(model, entry.mValue);
-        if (kept) {
+        const std::optional<WeightVersion> stored = Decode(model, entry.mValue);
+        if (stored) {
           mGossip.SetFact({kFactPrefix + model,
-                           static_cast<uint64_t>(kept->mVersion),
+                           static_cast<uint64_t>(stored->mVersion),
                            entry.mValue});
         }
       }
       co_return;
     }
-    co_await Node::Sleep(kKvPause);
+    co_await Node::Sleep(kKvRetryPause);
   }
 }
 
-// Hashing all engines over all members is dear at size, so it is done when the
-// members or the engines have changed and not at every tick.
-void WeightController::Impl::ReviewDuties(
+// Hashing all engines over all members is expensive in a large fleet, so it is
+// done only when the members or the engines have changed, not at every tick.
+void WeightController::Impl::ReviewOwnership(
     const std::vector<Upstream>& aEngines) {
   std::vector<std::string> ids;
   for (const Upstream& engine : aEngines) {
@@ -210,13 +213,13 @@
   });
 }
 
-// A number is drawn when the duty comes, before any order needs it, and after a
-// random pause, so that a start of the whole fleet or the end of an outage does
-// not bring a burst of writes.
-void WeightController::Impl::DrawMissingFences() {
+// A token is acquired as soon as this node gets a duty, before any order needs
+// it. A random delay prevents a burst of writes when the whole fleet starts or
+// an outage ends.
+void WeightController::Impl::AcquireMissingFences() {
   for (const std::string& engine : mDuties) {
-    if (!mFences.contains(engine) && mDrawing.insert(engine).second) {
-      mNode.SpawnControl(DrawFence(engine));
+    if (!mFences.contains(engine) && mAcquiring.insert(engine).second) {
+      mNode.SpawnControl(AcquireFence(engine));
     }
   }
 }
@@ -225,15 +228,15 @@
   while (true) {
     std::map<std::string, std::vector<Upstream>> models;
     const std::vector<Upstream> all = mUpstreams.Engines();
-    ReviewDuties(all);
-    DrawMissingFences();
+    ReviewOwnership(all);
+    AcquireMissingFences();
     for (const Upstream& engine : all) {
       models[engine.mName].push_back(engine);
     }
     for (const auto& [model, engines] : models) {
       TickModel(model, engines);
     }
-    co_await Node::Sleep(kTick);
+    co_await Node::Sleep(kTickPeriod);
   }
 }
 
@@ -274,23 +277,24 @@
         std::ranges::find(aEngines, order.mUpstream, &Upstream::mId);
     mNode.SpawnControl(Send(order, *engine, *newest));
   }
-  if (plan.NeedsFenceCheck() && !mConfirming) {
-    mConfirming = true;
+  if (plan.NeedsFenceCheck() && !mFenceCheckRunning) {
+    mFenceCheckRunning = true;
     mNode.SpawnControl(ConfirmFences());
   }
 }
 
-// The store's revision after a write is a number that only grows, so that the
-// later of two controllers always holds the greater one. A lost answer does no
-// harm: the next write gives a greater number still.
-asio::awaitable<void> WeightController::Impl::DrawFence(std::string aEngine) {
+// The fencing token is the store's revision after a write. Revisions only grow,
+// so the later of two controllers always holds the greater token. A lost
+// response is harmless, because the next write yields a still greater token.
+asio::awaitable<void> WeightController::Impl::AcquireFence(
+    std::string aEngine) {
   const int64_t pause = static_cast<int64_t>(
-      mRandom() % static_cast<uint64_t>(kDrawSpread.Count()));
-  // A node that has just started sees few others and takes all duties for its
-  // own; by the end of the pause it knows better.
-  co_await Node::Sleep(kDrawSettle + Millis(pause));
+      mRandom() % static_cast<uint64_t>(kFenceJitter.Count()));
+  // A node that has just started knows few members and assumes that it owns
+  // every duty. By the end of the delay it has learned of the others.
+  co_await Node::Sleep(kFenceDelay + Millis(pause));
   if (!mDuties.contains(aEngine)) {
-    mDrawing.erase(aEngine);
+    mAcquiring.erase(aEngine);
     co_return;
   }
   const Result<int64_t> revision = co_await mNode.Kv().Put(
@@ -298,10 +302,11 @@
   if (revision && mDuties.contains(aEngine)) {
     mFences[aEngine] = static_cast<uint64_t>(*revision);
   }
-  mDrawing.erase(aEngine);
+  mAcquiring.erase(aEngine);
 }
 
-// After a pause another node may have taken over; some engines would not tell.
+// After a pause of this node, another node may have taken duties over. Engines
+// that ignore fencing tokens would not reject the orders of this one.
 asio::awaitable<void> WeightController::Impl::ConfirmFences() {
   const Result<KvRange> range = co_await mNode.Kv().Range(kFencePrefix, true);
   if (range) {
@@ -317,9 +322,9 @@
     }
     mFencesConfirmedAt = mNode.Now();
   } else {
-    co_await Node::Sleep(kKvPause);
+    co_await Node::Sleep(kKvRetryPause);
   }
-  mConfirming = false;
+  mFenceCheckRunning = false;
 }
 
 asio::awaitable<void> WeightController::Impl::Send(SwapOrder aOrder,
