--- a/src/include/rillwall/http.h
+++ b/src/include/rillwall/http.h
@@ -98,15 +98,15 @@
   /// Gives no answer, or not the rest of it: the connection is cut when the
   /// handler returns. A handler that returns without this and without an
   /// answer is answered for with status 500.
-  virtual void Cut() = 0;
+  virtual void Abort() = 0;
   /// \return the peer's address, for logs
   virtual std::string Peer() const = 0;
   /// \return whether the peer is known to have closed the connection. While a
   /// handler runs, the server watches the socket for it.
-  virtual bool PeerGone() const = 0;
+  virtual bool PeerDisconnected() const = 0;
   /// Asks for one call, on the connection's strand, when the peer closes the
   /// connection. Replaces the one asked for before; an empty one asks for none.
-  virtual void OnPeerGone(std::function<void()> aCall) = 0;
+  virtual void OnPeerDisconnected(std::function<void()> aCall) = 0;
 };
 
 using HttpHandler = std::function<asio::awaitable<void>(
--- a/src/include/rillwall/kv_client.h
+++ b/src/include/rillwall/kv_client.h
@@ -18,7 +18,7 @@
   Millis mTimeout{2000};             ///< for each call
   /// A watch that stays silent for so long is ended, as its service may be
   /// gone without a trace; the watcher starts another from where it was.
-  Millis mWatchSilence{60000};
+  Millis mWatchIdleTimeout{60000};
 };
 
 /// Thread-safe. Calls never retry: a call that fails makes the next one go to
@@ -42,7 +42,7 @@
       std::string aKey, int64_t aModRevision) override;
   /// Ends with Stale if the service no longer holds aFromRevision: the watcher
   /// then reads the prefix anew. Ends with Timeout if nothing was heard for
-  /// mWatchSilence, and with KvUnavailable if the stream was lost.
+  /// mWatchIdleTimeout, and with KvUnavailable if the stream was lost.
   asio::awaitable<Error> Watch(
       std::string aPrefix, int64_t aFromRevision,
       std::function<void(const std::vector<KvEvent>&)> aOnEvents) override;
--- a/src/include/rillwall/store_port.h
+++ b/src/include/rillwall/store_port.h
@@ -25,9 +25,9 @@
 struct StoreItem {
   std::string mKey;
   std::string mValue;
-  int64_t mRevision = 0;  ///< of its last change
-  int64_t mCreated = 0;   ///< revision of its creation
-  int64_t mLease = 0;     ///< it goes with this lease; 0: it has none
+  int64_t mRevision = 0;        ///< of its last change
+  int64_t mCreateRevision = 0;  ///< revision of its creation
+  int64_t mLease = 0;           ///< it goes with this lease; 0: it has none
   bool operator==(const StoreItem&) const = default;
 };
 
@@ -64,7 +64,7 @@
 /// Whether a change was made.
 struct StoreCommit {
   bool mApplied = false;
-  bool mLeaseGone = false;          ///< not applied, as a lease has ended
+  bool mLeaseExpired = false;       ///< not applied, as a lease has ended
   int64_t mRevision = 0;            ///< of the change, if applied
   std::vector<StoreItem> mCurrent;  ///< the guards' keys, if not applied
 
@@ -109,7 +109,7 @@
       std::string aKey) = 0;
   /// The same for a fraction of the price: the key as it stood at some time
   /// within the last seconds.
-  virtual asio::awaitable<Result<std::optional<StoreItem>>> GetOld(
+  virtual asio::awaitable<Result<std::optional<StoreItem>>> GetStale(
       std::string aKey) = 0;
   /// \param aAfter list keys after this one; empty: from the start
   virtual asio::awaitable<Result<StoreList>> List(std::string aPrefix,
--- a/src/librillwall_rollout/lead_claim.cpp
+++ b/src/librillwall_rollout/lead_claim.cpp
@@ -328,7 +328,7 @@
   }
   Result<std::optional<StoreItem>> item = std::optional<StoreItem>();
   if (aMayBeOld) {
-    item = co_await mNode.mStore.GetOld(kLeadKey);
+    item = co_await mNode.mStore.GetStale(kLeadKey);
   } else {
     item = co_await mNode.mStore.Get(kLeadKey);
   }
--- a/src/librillwall_rollout/relay.cpp
+++ b/src/librillwall_rollout/relay.cpp
@@ -89,7 +89,7 @@
     Result<std::string> part = co_await aRest->Read(kStreamPause);
     if (!part) {
       Event("stream-cut").Id(aId).Text("why", part.error().Detail()).Write();
-      aExchange.Cut();
+      aExchange.Abort();
       co_return;
     }
     if (part->empty()) {
@@ -99,7 +99,7 @@
     const std::error_code failed = co_await aExchange.Write(std::move(*part));
     if (failed) {
       Event("stream-left").Id(aId).Text("why", failed.message()).Write();
-      aExchange.Cut();
+      aExchange.Abort();
       co_return;
     }
   }
@@ -117,7 +117,7 @@
   const std::error_code failed =
       co_await aExchange.Begin(std::move(aAnswer.mHead));
   if (failed) {
-    aExchange.Cut();
+    aExchange.Abort();
     co_return;
   }
   if (!begun.empty()) {
@@ -241,18 +241,18 @@
       .Write();
   asio::steady_timer gone(aNode.mIo);
   gone.expires_at(asio::steady_timer::time_point::max());
-  aExchange.OnPeerGone([&gone] { gone.cancel(); });
-  if (aExchange.PeerGone()) {
+  aExchange.OnPeerDisconnected([&gone] { gone.cancel(); });
+  if (aExchange.PeerDisconnected()) {
     gone.cancel();
   }
   const auto ended = co_await (
       CallAndAnswer(aNode, std::move(call), aRoute, started, aExchange) ||
       gone.async_wait(asio::as_tuple(asio::use_awaitable)));
-  aExchange.OnPeerGone(nullptr);
+  aExchange.OnPeerDisconnected(nullptr);
   if (ended.index() == 1) {
     Event("client-left").Id(*id).Write();
     aNode.mMetrics.Count("clients_left_total");
-    aExchange.Cut();
+    aExchange.Abort();
   }
 }
 
--- a/src/librillwall_rollout/rollout_accept.cpp
+++ b/src/librillwall_rollout/rollout_accept.cpp
@@ -184,7 +184,7 @@
     const std::string& written = aAcceptance->mChange.mPuts.front().mValue;
     const bool ours = aAcceptance->mUnsure && item != nullptr &&
                       item->mValue == written &&
-                      item->mRevision == item->mCreated;
+                      item->mRevision == item->mCreateRevision;
     co_return Result<int64_t>(ours ? item->mRevision : 0);
   }
   const Error& error = done.error();
--- a/src/librillwall_rollout/rollout_support_test.cpp
+++ b/src/librillwall_rollout/rollout_support_test.cpp
@@ -61,7 +61,7 @@
   co_return found == mItems.end() ? std::nullopt : std::optional(found->second);
 }
 
-asio::awaitable<Result<std::optional<StoreItem>>> FakeStore::GetOld(
+asio::awaitable<Result<std::optional<StoreItem>>> FakeStore::GetStale(
     std::string aKey) {
   ++mOldReads;
   co_return co_await Get(std::move(aKey));
@@ -133,7 +133,8 @@
   commit.mRevision = ++mRevision;
   for (const StorePut& put : aChange.mPuts) {
     StoreItem& item = mItems[put.mKey];
-    const int64_t created = item.mCreated == 0 ? mRevision : item.mCreated;
+    const int64_t created =
+        item.mCreateRevision == 0 ? mRevision : item.mCreateRevision;
     item = {put.mKey, put.mValue, mRevision, created, put.mLease};
     mKeyLeases[put.mKey] = put.mLease;
     mHistory.push_back({false, item});
@@ -250,11 +251,11 @@
   }
   if (script.mEnds) {
     mServer.Stop();
-    aExchange.Cut();
+    aExchange.Abort();
     co_return;
   }
   ++mRunning;
-  while (script.mSilent && !aExchange.PeerGone()) {
+  while (script.mSilent && !aExchange.PeerDisconnected()) {
     co_await Sleep(mIo, Millis(5));
   }
   HttpResponse head;
@@ -287,7 +288,7 @@
   while (at < mEvents) {
     ++at;
     if (sent == aScript.mBreakAfter) {
-      aExchange.Cut();
+      aExchange.Abort();
       co_return;
     }
     ++sent;
@@ -300,7 +301,7 @@
     if (at != aScript.mSkipEvent) {
       const std::error_code failed = co_await aExchange.Write(std::move(event));
       if (failed) {
-        aExchange.Cut();
+        aExchange.Abort();
         co_return;
       }
     }
--- a/src/librillwall_rollout/rollout_test_support.h
+++ b/src/librillwall_rollout/rollout_test_support.h
@@ -32,7 +32,7 @@
  public:
   asio::awaitable<Result<std::optional<StoreItem>>> Get(
       std::string aKey) override;
-  asio::awaitable<Result<std::optional<StoreItem>>> GetOld(
+  asio::awaitable<Result<std::optional<StoreItem>>> GetStale(
       std::string aKey) override;
   asio::awaitable<Result<StoreList>> List(std::string aPrefix,
                                           std::string aAfter) override;
--- a/src/librillwall_rollout/view_exchange_test.cpp
+++ b/src/librillwall_rollout/view_exchange_test.cpp
@@ -486,7 +486,7 @@
                       [this](const HttpRequest&,
                              HttpExchange& aExchange) -> asio::awaitable<void> {
                         co_await Sleep(mWorld.mIo, Millis(5000));
-                        aExchange.Cut();
+                        aExchange.Abort();
                       });
     const Endpoint bound = *silent.Listen({"127.0.0.1", 0});
     mEntry.mLead.Learn({"late", bound.Text(), "run"});
--- a/src/librillwall_transport/peer_library.cpp
+++ b/src/librillwall_transport/grpc_library.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// The settings of the gRPC library that hold for the whole process.
 
-#include "peer_library.h"
+#include "grpc_library.h"
 
 #include <absl/synchronization/mutex.h>
 #include <grpc/grpc.h>
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-void KeepGrpcRunning() {
+void InitGrpcOnce() {
   static std::once_flag sOnce;
   std::call_once(sOnce, Start);
 }
--- a/src/librillwall_transport/peer_library.h
+++ b/src/librillwall_transport/grpc_library.h
@@ -13,6 +13,6 @@
 /// gRPC, which the distribution's package has on: it takes a third of the
 /// processor time of a call. What gRPC would write to standard error goes to
 /// the log, without repeats.
-void KeepGrpcRunning();
+void InitGrpcOnce();
 
 }  // namespace rillwall
--- a/src/librillwall_transport/http_client_test.cpp
+++ b/src/librillwall_transport/http_client_test.cpp
@@ -98,7 +98,7 @@
                         }
                         if (count > 1) {
                           co_await Sleep(Millis(600));
-                          aExchange.Cut();
+                          aExchange.Abort();
                           co_return;
                         }
                         co_await Sleep(Millis(20));
--- a/src/librillwall_transport/http_server_connection.cpp
+++ b/src/librillwall_transport/http_server_connection.cpp
@@ -122,7 +122,7 @@
   while (more) {
     more = co_await ServeOne();
   }
-  if (mAnswer == AnswerState::Cut) {
+  if (mAnswer == AnswerState::Abort) {
     // Without chunks only a reset tells the peer that the answer is not whole.
     mChunked ? mSocket.Close() : mSocket.Reset();
     co_return;
@@ -265,7 +265,7 @@
     co_await Respond(std::move(response));
   }
   if (mAnswer == AnswerState::Streaming) {
-    mAnswer = AnswerState::Cut;
+    mAnswer = AnswerState::Abort;
   }
   mShared->mActive.fetch_sub(1);
 }
@@ -377,7 +377,7 @@
   if (!mHeadOnly) {
     buffers[1] = asio::buffer(aResponse.mBody);
   }
-  mAnswer = AnswerState::Cut;
+  mAnswer = AnswerState::Abort;
   const std::error_code code = co_await WriteAll(buffers);
   if (!code) {
     mAnswer = AnswerState::Done;
@@ -431,13 +431,13 @@
     const WriteBuffers buffers{asio::buffer(std::string_view("0\r\n\r\n"))};
     code = co_await WriteAll(buffers);
   }
-  mAnswer = code ? AnswerState::Cut : AnswerState::Done;
+  mAnswer = code ? AnswerState::Abort : AnswerState::Done;
   co_return code;
 }
 
-void HttpServerConnection::Cut() {
+void HttpServerConnection::Abort() {
   if (mAnswer != AnswerState::Done) {
-    mAnswer = AnswerState::Cut;
+    mAnswer = AnswerState::Abort;
   }
 }
 
--- a/src/librillwall_transport/http_server_connection.h
+++ b/src/librillwall_transport/http_server_connection.h
@@ -59,12 +59,12 @@
   asio::awaitable<std::error_code> Begin(HttpResponse aHead) override;
   asio::awaitable<std::error_code> Write(std::string aChunk) override;
   asio::awaitable<std::error_code> End() override;
-  void Cut() override;
+  void Abort() override;
   std::string Peer() const override { return mPeer; }
-  bool PeerGone() const override {
+  bool PeerDisconnected() const override {
     return mPeerGone.load(std::memory_order_relaxed);
   }
-  void OnPeerGone(std::function<void()> aCall) override {
+  void OnPeerDisconnected(std::function<void()> aCall) override {
     mOnPeerGone = std::move(aCall);
   }
 
@@ -73,7 +73,7 @@
   struct PendingRead {
     std::function<void()> mResume;  ///< set while the coroutine waits for it
   };
-  enum class AnswerState { None, Streaming, Done, Cut };
+  enum class AnswerState { None, Streaming, Done, Abort };
 
   asio::awaitable<void> Run();
   /// \return whether the connection can be served
--- a/src/librillwall_transport/http_server_test.cpp
+++ b/src/librillwall_transport/http_server_test.cpp
@@ -217,7 +217,7 @@
       co_return;
     }
     if (aRequest.mTarget == "/cut") {
-      aExchange.Cut();
+      aExchange.Abort();
       co_return;
     }
     if (aRequest.mTarget == "/throw") {
@@ -231,10 +231,10 @@
       co_return;
     }
     if (aRequest.mTarget == "/wait") {
-      while (!mRelease && !aExchange.PeerGone()) {
+      while (!mRelease && !aExchange.PeerDisconnected()) {
         co_await Sleep(Millis(5));
       }
-      mPeerGone = aExchange.PeerGone();
+      mPeerGone = aExchange.PeerDisconnected();
       response.mBody = "waited";
     }
     co_await aExchange.Respond(std::move(response));
--- a/src/librillwall_transport/http_test.cpp
+++ b/src/librillwall_transport/http_test.cpp
@@ -20,7 +20,7 @@
     co_return;
   }
   if (aRequest.Path() == "/no-answer") {
-    aExchange.Cut();
+    aExchange.Abort();
     co_return;
   }
   co_await aExchange.Begin(std::move(response));
--- a/src/librillwall_transport/kv_client.cpp
+++ b/src/librillwall_transport/kv_client.cpp
@@ -201,7 +201,7 @@
   std::string text;
   while (true) {
     const Result<std::string> part =
-        co_await aStream.Read(mSettings.mWatchSilence);
+        co_await aStream.Read(mSettings.mWatchIdleTimeout);
     if (!part && part.error().Kind() == ErrorKind::Timeout) {
       co_return Error(ErrorKind::Timeout, "The watch saw nothing for long.");
     }
--- a/src/librillwall_transport/peer_client.cpp
+++ b/src/librillwall_transport/peer_client.cpp
@@ -16,8 +16,8 @@
 #include <mutex>
 #include <set>
 
+#include "grpc_library.h"
 #include "node.grpc.pb.h"
-#include "peer_library.h"
 #include "peer_limits.h"
 #include "peer_tls.h"
 #include "rillwall/peer.h"
@@ -273,7 +273,7 @@
 PeerClient::PeerClient(asio::io_context& aContext,
                        std::optional<TlsSettings> aTls)
     : mImpl(std::make_shared<Impl>(aContext, std::move(aTls))) {
-  KeepGrpcRunning();
+  InitGrpcOnce();
 }
 
 PeerClient::~PeerClient() { mImpl->Close(); }
--- a/src/librillwall_transport/peer_server.cpp
+++ b/src/librillwall_transport/peer_server.cpp
@@ -11,8 +11,8 @@
 #include <mutex>
 #include <unordered_set>
 
+#include "grpc_library.h"
 #include "node.grpc.pb.h"
-#include "peer_library.h"
 #include "peer_limits.h"
 #include "peer_tls.h"
 #include "rillwall/peer.h"
@@ -167,7 +167,7 @@
                        std::optional<TlsSettings> aTls)
     : mImpl(std::make_unique<Impl>(aContext, std::move(aHandler),
                                    std::move(aTls))) {
-  KeepGrpcRunning();
+  InitGrpcOnce();
 }
 
 PeerServer::~PeerServer() { Stop(); }
--- a/src/rillwall/caller_api.cpp
+++ b/src/rillwall/caller_api.cpp
@@ -172,7 +172,7 @@
   const Millis start = mNode.Now();
   const ChunkSink sink =
       [&aExchange](const ModelChunk&) -> asio::awaitable<bool> {
-    co_return !aExchange.PeerGone();
+    co_return !aExchange.PeerDisconnected();
   };
   Result<ModelAnswer> answer = co_await mCalls.Run(aAsk.mRequest, sink);
   HttpResponse response;
--- a/src/standin/control.cpp
+++ b/src/standin/control.cpp
@@ -96,11 +96,11 @@
     co_await mControl.Thawed();
     co_return co_await mInner.End();
   }
-  void Cut() override { mInner.Cut(); }
+  void Abort() override { mInner.Abort(); }
   std::string Peer() const override { return mInner.Peer(); }
-  bool PeerGone() const override { return mInner.PeerGone(); }
-  void OnPeerGone(std::function<void()> aCall) override {
-    mInner.OnPeerGone(std::move(aCall));
+  bool PeerDisconnected() const override { return mInner.PeerDisconnected(); }
+  void OnPeerDisconnected(std::function<void()> aCall) override {
+    mInner.OnPeerDisconnected(std::move(aCall));
   }
 
  private:
@@ -110,7 +110,7 @@
     co_await mControl.Thawed();
     const bool dropped = mControl.mDropAnswer->Take();
     if (dropped) {
-      mInner.Cut();
+      mInner.Abort();
     }
     co_return !dropped;
   }
--- a/src/standin/engine_stream.cpp
+++ b/src/standin/engine_stream.cpp
@@ -163,7 +163,7 @@
     const bool decoding = aStream->mState == StreamState::Decode;
     co_await Sleep(decoding && sent > 0 ? Millis(mOptions.mChunkMillis)
                                         : kFirstTokenPoll);
-    if (aExchange.PeerGone()) {
+    if (aExchange.PeerDisconnected()) {
       EndStream(aStream, "cancelled");
       co_return;
     }
--- a/src/standin/kv.cpp
+++ b/src/standin/kv.cpp
@@ -132,7 +132,7 @@
                                         HttpExchange& aExchange) {
   const std::string_view path = aRequest.Path();
   if (path != kCallsPath && mOutage.On()) {
-    aExchange.Cut();  // nothing is done
+    aExchange.Abort();  // nothing is done
     co_return;
   }
   if (path == kWatchPath) {
@@ -144,7 +144,7 @@
   const bool written =
       route && route->mKind == CallKind::Write && answer.mStatus == 200;
   if (written && mAnswerLost.Take()) {
-    aExchange.Cut();  // the write took effect; the writer cannot know
+    aExchange.Abort();  // the write took effect; the writer cannot know
     co_return;
   }
   co_await aExchange.Respond(std::move(answer));
@@ -193,7 +193,7 @@
   std::error_code gone = co_await aExchange.Begin(std::move(head));
   std::string line = WriteWatchCreated(mStore.Revision());
   int64_t next = aWatch.mFrom > 0 ? aWatch.mFrom : mStore.Revision() + 1;
-  while (!gone && !mOutage.On() && !aExchange.PeerGone()) {
+  while (!gone && !mOutage.On() && !aExchange.PeerDisconnected()) {
     if (!line.empty()) {
       co_await mControl.Slowed();
       gone = co_await aExchange.Write(std::move(line));
@@ -213,7 +213,7 @@
       line = WriteEvents(events, mStore.Revision());
     }
   }
-  aExchange.Cut();
+  aExchange.Abort();
 }
 
 HttpResponse KvService::RunOp(StoreOpKind aKind, const json::object& aBody) {
