--- a/src/include/rillwall/http.h
+++ b/src/include/rillwall/http.h
@@ -1,14 +1,19 @@
 /// \file
-/// HTTP/1.1 for callers, trainers, operators, upstreams and the platform.
+/// HTTP/1.1 server and client, used with callers, trainers, operators,
+/// upstreams and the platform.
 ///
-/// A server hands each request to one handler, a coroutine, with an exchange
-/// on which the answer is written whole or streamed. A client keeps a pool of
-/// idle connections per endpoint. A connection belongs to one call until that
-/// call's answer has ended; after a timeout, an error or an early release it is
-/// closed and never reused, so that no call can receive another's answer.
-/// Both run on the io_context they are given, on any number of threads.
-/// Bodies and headers over the limits, stalled requests and malformed ones are
-/// answered by the server itself with the right 4xx.
+/// The server passes each request to one handler, a coroutine, together with an
+/// exchange through which the handler sends a whole or a streamed response. The
+/// server itself responds with a 4xx status to malformed and stalled requests
+/// and to bodies and headers over the limits.
+///
+/// The client keeps a pool of idle connections per endpoint. A connection
+/// belongs to one call until the response to that call has ended. After a
+/// timeout, an error or an early release the connection is closed and never
+/// reused, so that no call can receive the response to another call.
+///
+/// Server and client run on the io_context they are given, which may be run by
+/// any number of threads.
 
 #pragma once
 
@@ -30,7 +35,7 @@
 
 namespace asio = boost::asio;
 
-/// A host's IP number and a port.
+/// The IP number of a host, and a port.
 struct Endpoint {
   std::string mHost;
   uint16_t mPort = 0;
@@ -51,10 +56,11 @@
   bool operator==(const HttpHeader&) const = default;
 };
 
-/// The first header of this name, or nullptr.
+/// \return the value of the first header of this name, or nullptr
 const std::string* FindHeader(const std::vector<HttpHeader>& aHeaders,
                               std::string_view aName);
 
+/// A request as received by a server or sent by a client.
 struct HttpRequest {
   std::string mMethod = "GET";
   std::string mTarget = "/";  ///< path and query
@@ -65,82 +71,98 @@
   std::string_view Path() const;
   /// \return the value of a query parameter, percent-decoded; empty if absent
   std::string Query(std::string_view aName) const;
+  /// \return the value of a header, or nullptr if absent
   const std::string* Find(std::string_view aName) const {
     return FindHeader(mHeaders, aName);
   }
 };
 
+/// A response as sent by a server or received by a client.
 struct HttpResponse {
   int mStatus = 200;
   std::vector<HttpHeader> mHeaders;
   std::string mBody;
 
+  /// \return the value of a header, or nullptr if absent
   const std::string* Find(std::string_view aName) const {
     return FindHeader(mHeaders, aName);
   }
-  /// \return an answer with a JSON body
+  /// \return a response with a JSON body and its content type
   static HttpResponse Json(int aStatus, std::string aBody);
 };
 
-/// The answer's side of one request. Lives as long as the handler runs.
+/// Sends the response to one request. Valid as long as the handler runs.
+///
+/// If the handler returns without having sent a response or called Abort(), the
+/// server responds with status 500.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
-  /// Writes a whole answer. At most once, and not after Begin().
+  /// Sends a whole response. May be called at most once and not after Begin().
+  /// \return an error if the response could not be sent: ConnectionLost,
+  /// Timeout, or Internal if a response was begun before
   virtual asio::awaitable<std::error_code> Respond(HttpResponse aResponse) = 0;
-  /// Starts a streamed answer (chunked); the body of aHead is ignored.
+  /// Starts a streamed response. Its body is chunked, or ends with the
+  /// connection if the peer speaks HTTP/1.0.
+  /// \param aHead status and headers; its body is ignored
   virtual asio::awaitable<std::error_code> Begin(HttpResponse aHead) = 0;
-  /// Writes one chunk at once. An error means that the peer has gone.
+  /// Sends one part of a streamed response without delay.
+  /// \return an error if the peer has disconnected or stopped reading
   virtual asio::awaitable<std::error_code> Write(std::string aChunk) = 0;
-  /// Ends a streamed answer. Without it the connection is cut, so that the
-  /// peer sees that the answer is not whole.
+  /// Ends a streamed response. If the handler returns without calling End(),
+  /// the connection is aborted, so that the peer sees that the response is
+  /// incomplete.
   virtual asio::awaitable<std::error_code> End() = 0;
-  /// Gives no answer, or not the rest of it: the connection is cut when the
-  /// handler returns. A handler that returns without this and without an
-  /// answer is answered for with status 500.
+  /// Sends no response, or not the rest of it: the connection is aborted when
+  /// the handler returns.
   virtual void Abort() = 0;
   /// \return the peer's address, for logs
   virtual std::string Peer() const = 0;
-  /// \return whether the peer is known to have closed the connection. While a
-  /// handler runs, the server watches the socket for it.
+  /// \return whether the peer is known to have closed the connection; the
+  /// server watches the socket for this while a handler runs
   virtual bool PeerDisconnected() const = 0;
-  /// Asks for one call, on the connection's strand, when the peer closes the
-  /// connection. Replaces the one asked for before; an empty one asks for none.
-  virtual void OnPeerDisconnected(std::function<void()> aCall) = 0;
+  /// Sets a callback that runs once, on the connection's strand, when the peer
+  /// closes the connection.
+  /// \param aCallback replaces the previous callback; empty: no callback
+  virtual void OnPeerDisconnected(std::function<void()> aCallback) = 0;
 };
 
+/// Handles one request and sends the response through the exchange.
 using HttpHandler = std::function<asio::awaitable<void>(
     const HttpRequest& aRequest, HttpExchange& aExchange)>;
 
-/// Limits of a server. Spans in milliseconds, sizes in bytes.
+/// Limits of a server. Sizes are in bytes.
 struct HttpLimits {
   size_t mMaxHeader = 16 * 1024;
   size_t mMaxBody = 8 * 1024 * 1024;
   size_t mMaxConnections = 8192;
-  Millis mReadTimeout{10000};   ///< for a whole request, once begun
-  Millis mIdleTimeout{60000};   ///< between requests of one connection
-  Millis mWriteTimeout{10000};  ///< for one write to make progress
+  Millis mReadTimeout{10000};   ///< for a whole request, once it has begun
+  Millis mIdleTimeout{60000};   ///< between two requests on one connection
+  Millis mWriteTimeout{10000};  ///< for one write to complete
 };
 
 /// Serves HTTP/1.1 with keep-alive on one address.
 class HttpServer {
  public:
-  /// \param aTls makes it speak TLS only; wrong files fail Listen()
+  /// \param aTls if set, the server accepts TLS only; files that cannot be
+  /// loaded make Listen() fail
   HttpServer(asio::io_context& aContext, HttpLimits aLimits,
              HttpHandler aHandler,
              std::optional<TlsSettings> aTls = std::nullopt);
   ~HttpServer();
-  /// Starts to accept. Port 0 takes a free one.
-  /// \return the endpoint taken
+  /// Starts to accept connections. Port 0 selects a free port.
+  /// \return the endpoint bound; an error if it cannot be bound or a TLS file
+  /// cannot be loaded
   Result<Endpoint> Listen(const Endpoint& aEndpoint);
-  /// Reads the TLS files anew, for connections made from now on.
-  /// \return what is wrong with them; the keys in force then stay
+  /// Reloads the TLS files for new connections; open ones keep their keys.
+  /// \return an error if a file cannot be loaded; the previous keys then stay
+  /// in use
   std::optional<Error> ReloadTls();
-  /// Stops accepting; connections close after their present request.
+  /// Stops accepting connections. Open ones close after the current request.
   void Drain();
-  /// \return requests whose handler runs now
+  /// \return the number of requests whose handler is running
   size_t Active() const;
-  /// Closes everything at once.
+  /// Stops accepting and closes all connections immediately.
   void Stop();
 
  private:
@@ -148,65 +170,70 @@
   std::shared_ptr<Impl> mImpl;
 };
 
-/// One answer being received. Destroying it before its end closes the
-/// connection, which cancels the call at the upstream.
+/// A response being received. Destroying it before the response has ended
+/// closes the connection, which cancels the call at the upstream.
 class HttpStream {
  public:
   virtual ~HttpStream() = default;
-  /// \return status and headers, without a body
+  /// \return status and headers; the body is empty
   virtual const HttpResponse& Head() const = 0;
-  /// The next part of the body as it arrives.
-  /// \param aWait longest wait for it
-  /// \return the part; empty at the answer's proper end; an error if the
-  /// answer was cut (ConnectionLost) or nothing came in time (Timeout)
+  /// Reads the next part of the body as it arrives.
+  /// \param aWait longest time to wait for it
+  /// \return the part, empty after the complete response; ConnectionLost if the
+  /// response was truncated, Timeout if nothing arrived in time
   virtual asio::awaitable<Result<std::string>> Read(Millis aWait) = 0;
-  /// Ends the call now: a pending Read() returns an error, and the connection
-  /// is closed.
+  /// Ends the call immediately: a pending Read() returns an error, and the
+  /// connection is closed.
   virtual void Abort() = 0;
 };
 
-/// Whether a program takes connections at an endpoint.
+/// Whether a program accepts connections at an endpoint.
 enum class Listening {
   Yes,
-  No,       ///< the host answers, and nothing listens there
-  Unknown,  ///< there was no answer in time, or something else went wrong
+  No,       ///< the host refused the connection
+  Unknown,  ///< the connection timed out or failed in another way
 };
 
-/// Sends requests. Thread-safe.
+/// Sends requests over pooled connections. Thread-safe.
 class HttpClient {
  public:
-  /// \param aTls makes it speak TLS only, to every endpoint; while its files
-  /// are wrong, calls fail with NotRun
+  /// \param aTls if set, the client uses TLS for every endpoint; until its
+  /// files can be loaded, calls fail with NotRun
   explicit HttpClient(asio::io_context& aContext,
                       std::optional<TlsSettings> aTls = std::nullopt);
   ~HttpClient();
-  /// Sends a request and receives the whole answer.
-  /// \param aTimeout for everything together
-  /// \return the answer, or an error whose Run() is NotRun only if no byte of
-  /// the request was written to the upstream. Requests are not repeated; a
-  /// pooled connection found closed before the first byte is replaced.
+  /// Sends a request and receives the whole response. Requests are never
+  /// retried. A pooled connection that is found closed before the first byte is
+  /// written is replaced by another one.
+  /// \param aTimeout for the whole call, connecting included
+  /// \return the response, or an error whose Run() is NotRun only if no byte of
+  /// the request was written to the upstream
   asio::awaitable<Result<HttpResponse>> Send(const Endpoint& aEndpoint,
                                              HttpRequest aRequest,
                                              Millis aTimeout);
-  /// Sends a request and returns when the answer's headers are there.
+  /// Sends a request and returns once the headers of the response have arrived.
+  /// \param aTimeout for connecting, sending and receiving the headers
+  /// \return the response, whose body is read part by part; errors as of Send()
   asio::awaitable<Result<std::unique_ptr<HttpStream>>> Open(
       const Endpoint& aEndpoint, HttpRequest aRequest, Millis aTimeout);
-  /// Finds out whether an upstream still listens, by a new connection, which is
-  /// kept for a later call.
+  /// Checks whether an upstream still listens, by opening a new connection.
+  /// Without TLS, the connection is kept for a later call.
   asio::awaitable<Listening> Probe(const Endpoint& aEndpoint, Millis aTimeout);
-  /// Limits the time for making a connection within a call's own time, so that
-  /// a host that does not answer costs only this much. Unset: no own limit.
+  /// Limits the time to connect within the timeout of a call, so that a host
+  /// that does not respond delays the call by at most this time. Without it,
+  /// only the timeout of the call applies.
   void SetConnectTimeout(Millis aTimeout);
-  /// Sets how the client learns that the host was suspended: connections that
-  /// were idle then are not used again, as their peers may have dropped them
-  /// without a word that got through.
+  /// Sets the function that tells for how long in total the host has been
+  /// suspended. Connections that were idle during a suspension are not reused:
+  /// their peers may have closed them, and the host may have missed the close.
   void SetSuspendedFor(std::function<Millis()> aSuspendedFor);
-  /// \return connections made so far, for metrics
+  /// \return the number of connection attempts so far, for metrics
   uint64_t ConnectionsMade() const;
-  /// Reads the TLS files anew, for connections made from now on.
-  /// \return what is wrong with them; the keys in force then stay
+  /// Reloads the TLS files for new connections; open ones keep their keys.
+  /// \return an error if a file cannot be loaded; the previous keys then stay
+  /// in use
   std::optional<Error> ReloadTls();
-  /// \return open connections, for the dump
+  /// \return the number of open connections, for the dump
   size_t Connections() const;
 
  private:
--- a/src/include/rillwall/kv_client.h
+++ b/src/include/rillwall/kv_client.h
@@ -1,5 +1,5 @@
 /// \file
-/// The key-value service by etcd v3's JSON calls over HTTP.
+/// Client of the key-value service over the JSON/HTTP gateway of etcd v3.
 
 #pragma once
 
@@ -12,19 +12,22 @@
 
 namespace rillwall {
 
-/// Where the service is and how long to wait for it.
+/// Endpoints and timeouts of the key-value service.
 struct KvSettings {
-  std::vector<Endpoint> mEndpoints;  ///< one is used until it fails
-  Millis mTimeout{2000};             ///< for each call
-  /// A watch that stays silent for so long is ended, as its service may be
-  /// gone without a trace; the watcher starts another from where it was.
+  std::vector<Endpoint> mEndpoints;  ///< each is used until it fails
+  Millis mTimeout{2000};             ///< of each call
+  /// A watch that receives nothing for this long ends with Timeout, because
+  /// its service may have disappeared without closing the connection. The
+  /// watcher then starts another watch from the last revision it has seen.
   Millis mWatchIdleTimeout{60000};
 };
 
-/// Thread-safe. Calls never retry: a call that fails makes the next one go to
-/// the next endpoint. A write that may have been taken ends as KvUncertain, one
-/// that surely was not as KvUnavailable. A leased write grants its lease first,
-/// which is one call more.
+/// Implements KvPort by calls to etcd. Thread-safe.
+///
+/// Calls are never retried; after a failed call, the next call uses the next
+/// endpoint. A write that may have been applied fails with KvUncertain, and one
+/// that certainly was not with KvUnavailable. A write with a lease grants the
+/// lease by an additional call before it.
 class KvClient final : public KvPort {
  public:
   /// \param aClient must outlive this
@@ -40,9 +43,9 @@
       int64_t aLeaseSeconds) override;
   asio::awaitable<Result<KvSwap>> CompareAndDelete(
       std::string aKey, int64_t aModRevision) override;
-  /// Ends with Stale if the service no longer holds aFromRevision: the watcher
-  /// then reads the prefix anew. Ends with Timeout if nothing was heard for
-  /// mWatchIdleTimeout, and with KvUnavailable if the stream was lost.
+  /// \return Stale if the service has compacted aFromRevision, so that the
+  /// watcher must read the prefix again; Timeout if nothing was received for
+  /// mWatchIdleTimeout; KvUnavailable if the stream was lost
   asio::awaitable<Error> Watch(
       std::string aPrefix, int64_t aFromRevision,
       std::function<void(const std::vector<KvEvent>&)> aOnEvents) override;
--- a/src/include/rillwall/kv_port.h
+++ b/src/include/rillwall/kv_port.h
@@ -1,10 +1,10 @@
 /// \file
-/// The platform's key-value service as rillwall uses it.
+/// Interface to the platform's key-value service. Another platform needs only
+/// another implementation of this interface.
 ///
-/// One small interface, so that another platform is one more implementation.
-/// Calls never retry. A write whose answer was lost ends as KvUncertain; the
-/// writer must read back before it goes on. Each write carries what lets its
-/// writer recognise it (a nonce in the value).
+/// Calls are never retried. A write whose response was lost fails with
+/// KvUncertain, and the writer must read the key back before it continues. Each
+/// value contains a nonce by which its writer recognises it.
 
 #pragma once
 
@@ -21,7 +21,7 @@
 
 namespace asio = boost::asio;
 
-/// A key's value and the revisions of its making and of its last change.
+/// A key with its value and the revisions of its creation and last change.
 struct KvEntry {
   std::string mKey;
   std::string mValue;
@@ -30,26 +30,26 @@
   bool operator==(const KvEntry&) const = default;
 };
 
-/// The answer to a read.
+/// The result of a read.
 struct KvRange {
   std::vector<KvEntry> mEntries;
-  int64_t mRevision = 0;  ///< of the whole store
+  int64_t mRevision = 0;  ///< of the store at the time of the read
 };
 
-/// The answer to a compare-and-swap.
+/// The result of a compare-and-swap or compare-and-delete.
 struct KvSwap {
   bool mApplied = false;
   int64_t mRevision = 0;          ///< of the store after the call
-  std::vector<KvEntry> mCurrent;  ///< what stands there if not applied
+  std::vector<KvEntry> mCurrent;  ///< current entry of the key if not applied
 };
 
-/// One change seen by a watch.
+/// One change reported by a watch.
 struct KvEvent {
   bool mDeleted = false;
   KvEntry mEntry;
 };
 
-/// Calls by kind, for metrics and the capacity page.
+/// Number of calls by kind, for metrics and the capacity page.
 struct KvCounts {
   uint64_t mReads = 0;
   uint64_t mWrites = 0;
@@ -58,32 +58,36 @@
   bool operator==(const KvCounts&) const = default;
 };
 
+/// A key-value store with revisions, leases and watches.
 class KvPort {
  public:
   virtual ~KvPort() = default;
-  /// Reads one key, or all keys that start with aKey if aPrefix.
+  /// Reads one key, or all keys that start with aKey if aPrefix is set.
   virtual asio::awaitable<Result<KvRange>> Range(std::string aKey,
                                                  bool aPrefix) = 0;
-  /// Writes a key whatever it holds.
-  /// \param aLeaseSeconds the key's life; 0 keeps it
+  /// Writes a key unconditionally.
+  /// \param aLeaseSeconds lifetime of the key; 0: without limit
   /// \return the store's revision after the write
   virtual asio::awaitable<Result<int64_t>> Put(std::string aKey,
                                                std::string aValue,
                                                int64_t aLeaseSeconds) = 0;
-  /// Writes a key if its last change is still aModRevision (0: if absent).
+  /// Writes a key if it was last changed at aModRevision.
+  /// \param aModRevision 0: write only if the key does not exist
+  /// \param aLeaseSeconds lifetime of the key; 0: without limit
   virtual asio::awaitable<Result<KvSwap>> CompareAndSwap(
       std::string aKey, int64_t aModRevision, std::string aValue,
       int64_t aLeaseSeconds) = 0;
-  /// Removes a key if its last change is still aModRevision.
+  /// Deletes a key if it was last changed at aModRevision.
   virtual asio::awaitable<Result<KvSwap>> CompareAndDelete(
       std::string aKey, int64_t aModRevision) = 0;
-  /// Waits for changes under a prefix and hands them on, until the stream
-  /// ends or fails.
-  /// \param aFromRevision the first revision wanted
-  /// \return the error that ended it
+  /// Watches the keys of a prefix until the stream ends or fails.
+  /// \param aFromRevision the first revision to report
+  /// \param aOnEvents called with the changes of each revision, in order
+  /// \return the error that ended the watch
   virtual asio::awaitable<Error> Watch(
       std::string aPrefix, int64_t aFromRevision,
       std::function<void(const std::vector<KvEvent>&)> aOnEvents) = 0;
+  /// \return the number of calls so far
   virtual KvCounts Counts() const = 0;
 };
 
--- a/src/include/rillwall/peer.h
+++ b/src/include/rillwall/peer.h
@@ -1,9 +1,10 @@
 /// \file
-/// Calls between nodes, over gRPC with the messages of node.proto.
+/// Remote calls between nodes, over gRPC with the messages of node.proto.
 ///
-/// A PeerServer hands each call to the handler of its kind, a coroutine on the
-/// io_context. A PeerClient keeps one channel a peer, made on first use. Codec
-/// is protobuf; no discovery or balancing of gRPC's own is used.
+/// A PeerServer passes each call to its handler, a coroutine that runs on the
+/// io_context. A PeerClient keeps one channel per peer, created on first use.
+/// Messages are encoded as protobuf. gRPC's own service discovery and load
+/// balancing are not used.
 
 #pragma once
 
@@ -23,23 +24,27 @@
 
 namespace rillwall {
 
-/// Answers a call of a peer. An Error travels back with its kind.
+/// Handles the call of a peer. An Error is returned to the caller with its
+/// kind.
 using PeerHandler = std::function<asio::awaitable<Result<wire::PeerReply>>(
     wire::PeerRequest aRequest)>;
 
+/// Serves the calls of peers on one address.
 class PeerServer {
  public:
-  /// \param aTls mutual TLS for all connections; its files are read again when
-  /// they change. mPeerName is not used: any certificate of the authority is
-  /// taken. Wrong files fail Listen().
+  /// \param aTls mutual TLS for all connections; the files are reloaded when
+  /// they change, and files that cannot be loaded make Listen() fail. mPeerName
+  /// is ignored: every certificate that the authority has signed is accepted.
   PeerServer(asio::io_context& aContext, PeerHandler aHandler,
              std::optional<TlsSettings> aTls = std::nullopt);
   ~PeerServer();
-  /// Starts to serve. Port 0 takes a free one.
-  /// \return the endpoint taken
+  /// Starts to serve. Port 0 selects a free port.
+  /// \return the endpoint bound; an error if it cannot be bound or a TLS file
+  /// cannot be loaded
   Result<Endpoint> Listen(const Endpoint& aEndpoint);
-  /// Ends the calls in flight, which the clients see as ConnectionLost, and
-  /// closes all connections. Handlers that still run lose their result.
+  /// Aborts the calls in flight, which fail with ConnectionLost at the clients,
+  /// and closes all connections. The results of handlers that are still running
+  /// are discarded.
   void Stop();
 
  private:
@@ -47,22 +52,24 @@
   std::unique_ptr<Impl> mImpl;
 };
 
-/// Thread-safe. A peer that was restarted is reached again within a second.
+/// Calls peers. Thread-safe. Reconnects to a restarted peer within a second.
 class PeerClient {
  public:
-  /// \param aTls mutual TLS for all connections; its files are read again when
-  /// they change. While they are wrong from the start, calls fail.
+  /// \param aTls mutual TLS for all connections; the files are reloaded when
+  /// they change. Calls fail until the files could be loaded once.
   explicit PeerClient(asio::io_context& aContext,
                       std::optional<TlsSettings> aTls = std::nullopt);
-  /// Ends the calls in flight as ConnectionLost. The io_context must still be
-  /// there.
+  /// Fails the calls in flight with ConnectionLost. The io_context must still
+  /// exist.
   ~PeerClient();
+  /// Calls a peer and waits for its reply. Calls are never retried.
   /// \param aAddress the peer's "ip:port"
-  /// \return the reply; Timeout, ConnectionLost or the peer's own error
+  /// \return the reply, or Timeout, ConnectionLost or the error that the peer
+  /// returned
   asio::awaitable<Result<wire::PeerReply>> Call(std::string aAddress,
                                                 wire::PeerRequest aRequest,
                                                 Millis aTimeout);
-  /// Drops channels to peers other than these.
+  /// Closes the channels to all peers but these.
   void Retain(const std::vector<std::string>& aAddresses);
 
  private:
--- a/src/include/rillwall/store_port.h
+++ b/src/include/rillwall/store_port.h
@@ -1,10 +1,11 @@
 /// \file
-/// The linearizable store that keeps what must outlive every host.
+/// Interface to the linearizable store for data that must survive the loss of
+/// every host. Each platform has one implementation.
 ///
-/// A port with one implementation for each platform. Calls never retry. An
-/// error of kind KvUnavailable says that nothing was done; KvUncertain says
-/// that a change may have been made, or may still be made later if its guards
-/// hold then. Callers settle that by sending the same guarded change again.
+/// Calls are never retried. KvUnavailable means that nothing was changed.
+/// KvUncertain means that a change may have been applied, or may still be
+/// applied later if its guards hold then. The caller resolves this by sending
+/// the same guarded change again.
 
 #pragma once
 
@@ -21,24 +22,25 @@
 
 namespace asio = boost::asio;
 
-/// A key as it stands.
+/// A key with its current value.
 struct StoreItem {
   std::string mKey;
   std::string mValue;
-  int64_t mRevision = 0;        ///< of its last change
-  int64_t mCreateRevision = 0;  ///< revision of its creation
-  int64_t mLease = 0;           ///< it goes with this lease; 0: it has none
+  int64_t mRevision = 0;        ///< of the last change
+  int64_t mCreateRevision = 0;  ///< of the creation
+  int64_t mLease = 0;  ///< the key is removed with this lease; 0: no lease
   bool operator==(const StoreItem&) const = default;
 };
 
-/// The answer to a list.
+/// One page of a listing.
 struct StoreList {
   std::vector<StoreItem> mItems;
   int64_t mRevision = 0;  ///< of the whole store
-  bool mMore = false;     ///< goes on after the last key
+  bool mMore = false;     ///< further keys follow after the last one
 };
 
-/// A key that must still be at a revision; 0: that must not exist.
+/// A condition of a change: the key's last change is at this revision; 0: the
+/// key does not exist.
 struct StoreGuard {
   std::string mKey;
   int64_t mRevision = 0;
@@ -49,11 +51,12 @@
 struct StorePut {
   std::string mKey;
   std::string mValue;
-  int64_t mLease = 0;  ///< the key goes when this lease ends; 0: never
+  int64_t mLease = 0;  ///< the key is removed with this lease; 0: no lease
   bool operator==(const StorePut&) const = default;
 };
 
-/// An all-or-nothing change.
+/// A transaction: all puts and removes are applied if all guards hold, else
+/// none.
 struct StoreChange {
   std::vector<StoreGuard> mGuards;
   std::vector<StorePut> mPuts;
@@ -61,37 +64,38 @@
   bool operator==(const StoreChange&) const = default;
 };
 
-/// Whether a change was made.
+/// The result of committing a change.
 struct StoreCommit {
   bool mApplied = false;
-  bool mLeaseExpired = false;       ///< not applied, as a lease has ended
+  bool mLeaseExpired = false;       ///< not applied because a lease has ended
   int64_t mRevision = 0;            ///< of the change, if applied
-  std::vector<StoreItem> mCurrent;  ///< the guards' keys, if not applied
+  std::vector<StoreItem> mCurrent;  ///< keys of the guards, if not applied
 
-  /// \return a guard's key as it stood, or null if it did not exist
+  /// \return the current item of a guard's key, or null if it does not exist
   const StoreItem* Find(const std::string& aKey) const;
 };
 
-/// One change that a watch saw.
+/// One change reported by a watch.
 struct StoreEvent {
   bool mDeleted = false;
   StoreItem mItem;
 };
 
-/// The answer to one wait of a watch.
+/// The result of one wait for changes.
 struct StoreEvents {
   std::vector<StoreEvent> mEvents;
-  int64_t mRevision = 0;    ///< go on from here
-  bool mCompacted = false;  ///< history is gone: read everything again
+  int64_t mRevision = 0;  ///< the next wait continues after this revision
+  /// The revisions asked for were compacted: all keys must be read again.
+  bool mCompacted = false;
 };
 
-/// A lease as granted.
+/// A lease granted by the store.
 struct StoreLease {
   int64_t mId = 0;
   Millis mTtl;
 };
 
-/// Calls by kind, for metrics.
+/// Number of calls by kind, for metrics.
 struct StoreCounts {
   uint64_t mReads = 0;
   uint64_t mWrites = 0;
@@ -101,34 +105,44 @@
   bool operator==(const StoreCounts&) const = default;
 };
 
+/// A linearizable store with revisions, transactions, leases and watches.
 class StorePort {
  public:
   virtual ~StorePort() = default;
-  /// \return the key as it stands, or nothing if it does not exist
+  /// Reads a key with linearizable consistency.
+  /// \return the key, or nothing if it does not exist
   virtual asio::awaitable<Result<std::optional<StoreItem>>> Get(
       std::string aKey) = 0;
-  /// The same for a fraction of the price: the key as it stood at some time
-  /// within the last seconds.
+  /// Reads a key as it was at some time within the last seconds. Costs a
+  /// fraction of Get().
   virtual asio::awaitable<Result<std::optional<StoreItem>>> GetStale(
       std::string aKey) = 0;
-  /// \param aAfter list keys after this one; empty: from the start
+  /// Lists one page of the keys under a prefix, in order.
+  /// \param aAfter the page starts after this key; empty: with the first key
   virtual asio::awaitable<Result<StoreList>> List(std::string aPrefix,
                                                   std::string aAfter) = 0;
   /// Waits once for changes under a prefix.
-  /// \param aAfter the last revision that is known
+  /// \param aAfter changes after this revision are reported
+  /// \param aWait longest time to wait
   virtual asio::awaitable<Result<StoreEvents>> Watch(std::string aPrefix,
                                                      int64_t aAfter,
                                                      Millis aWait) = 0;
+  /// Applies a change if its guards hold.
   virtual asio::awaitable<Result<StoreCommit>> Commit(StoreChange aChange) = 0;
+  /// Grants a lease.
+  /// \param aTtl time to live without renewal
   virtual asio::awaitable<Result<StoreLease>> Grant(Millis aTtl) = 0;
-  /// \return whether the lease still lives
+  /// Extends a lease by its time to live.
+  /// \return whether the lease was still alive
   virtual asio::awaitable<Result<bool>> Renew(int64_t aLease) = 0;
   /// Ends a lease and removes its keys.
   virtual asio::awaitable<std::optional<Error>> Release(int64_t aLease) = 0;
+  /// \return the number of calls so far
   virtual StoreCounts Counts() const = 0;
 };
 
-/// Lists all pages of a prefix.
+/// Lists all keys under a prefix, page by page.
+/// \return all keys, with the store's revision at the first page
 asio::awaitable<Result<StoreList>> ListAll(StorePort& aStore,
                                            std::string aPrefix);
 
--- a/src/include/rillwall/tls.h
+++ b/src/include/rillwall/tls.h
@@ -1,5 +1,5 @@
 /// \file
-/// Settings of TLS for the HTTP server and client.
+/// TLS settings of the HTTP server and client and of the calls between nodes.
 
 #pragma once
 
@@ -7,18 +7,21 @@
 
 namespace rillwall {
 
-/// PEM files with a process's own keys and those it trusts. The files are read
-/// when the server or client is made and again on ReloadTls(); connections
-/// that are open keep the keys they began with.
+/// PEM files with the certificate and key of this process and the authorities
+/// that it trusts. The HTTP client reads the files when it is constructed, the
+/// HTTP server in Listen(); both read them again in ReloadTls(). Open
+/// connections keep the keys with which they were established.
 struct TlsSettings {
-  /// The own certificate with its chain, and its key. A server needs both; a
-  /// client has them if the upstream asks for a certificate.
+  /// Certificate of this process, followed by its chain. A server needs
+  /// certificate and key; a client needs them only if the server asks for a
+  /// certificate.
   std::string mCertificateFile;
-  std::string mKeyFile;
-  /// Authorities that the peer's certificate has to come from. A client needs
-  /// it; a server that has it refuses callers without such a certificate.
+  std::string mKeyFile;  ///< private key of the certificate
+  /// Authorities that may have signed the peer's certificate. A client needs
+  /// this file. A server for which it is set refuses callers without such a
+  /// certificate.
   std::string mAuthorityFile;
-  /// The name that a client demands in the peer's certificate; empty: the IP
+  /// Name that a client requires in the peer's certificate; empty: the IP
   /// number that it connects to.
   std::string mPeerName;
 
