--- a/src/librillwall_transport/datagram_socket.cpp
+++ b/src/librillwall_transport/datagram_socket.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A UDP socket on Asio. All uses of the socket are on one strand.
+/// The UDP socket, implemented with Asio. All operations run on one strand.
 
 #include <array>
 #include <atomic>
@@ -20,12 +20,13 @@
 using asio::ip::udp;
 using boost::system::error_code;
 
-/// Room for the largest datagram that UDP carries.
-constexpr size_t kReceiveBytes = 65536;
-/// Pause after a failed receive, so that a lasting fault does not spin.
-constexpr std::chrono::milliseconds kReceivePause{10};
+/// Holds the largest UDP datagram.
+constexpr size_t kMaxDatagramBytes = 65536;
+/// Delay after a failed receive, so that a persistent error does not cause a
+/// busy loop.
+constexpr std::chrono::milliseconds kReceiveRetryDelay{10};
 
-Result<udp::endpoint> UdpEndpoint(const Endpoint& aEndpoint) {
+Result<udp::endpoint> ToUdpEndpoint(const Endpoint& aEndpoint) {
   error_code ec;
   const asio::ip::address address = asio::ip::make_address(aEndpoint.mHost, ec);
   if (ec) {
@@ -35,7 +36,7 @@
   return udp::endpoint(address, aEndpoint.mPort);
 }
 
-Endpoint EndpointOf(const udp::endpoint& aEndpoint) {
+Endpoint FromUdpEndpoint(const udp::endpoint& aEndpoint) {
   return Endpoint{aEndpoint.address().to_string(), aEndpoint.port()};
 }
 
@@ -46,23 +47,23 @@
   Impl(asio::io_context& aContext, Handler aHandler)
       : mStrand(asio::make_strand(aContext)),
         mSocket(mStrand),
-        mPause(mStrand),
+        mRetryTimer(mStrand),
         mHandler(std::move(aHandler)) {}
 
   void Receive();
-  void Received(const error_code& aError, size_t aSize);
-  void ReceiveLater();
+  void OnReceived(const error_code& aError, size_t aSize);
+  void RetryReceive();
   void SendNow(const udp::endpoint& aTo, const std::string& aBytes);
   void Close();
 
   asio::strand<asio::io_context::executor_type> mStrand;
   udp::socket mSocket;
-  asio::steady_timer mPause;
+  asio::steady_timer mRetryTimer;
   Handler mHandler;
   udp::endpoint mSender;
-  std::array<char, kReceiveBytes> mBuffer;
-  std::atomic<uint64_t> mSent{0};
-  std::atomic<uint64_t> mReceived{0};
+  std::array<char, kMaxDatagramBytes> mBuffer;
+  std::atomic<uint64_t> mBytesSent{0};
+  std::atomic<uint64_t> mBytesReceived{0};
   std::atomic<bool> mStopped{false};
 };
 
@@ -70,27 +71,28 @@
   auto self = shared_from_this();
   mSocket.async_receive_from(asio::buffer(mBuffer), mSender,
                              [self](const error_code& aError, size_t aSize) {
-                               self->Received(aError, aSize);
+                               self->OnReceived(aError, aSize);
                              });
 }
 
-void DatagramSocket::Impl::Received(const error_code& aError, size_t aSize) {
+void DatagramSocket::Impl::OnReceived(const error_code& aError, size_t aSize) {
   if (mStopped || aError == asio::error::operation_aborted) {
     return;
   }
   if (aError) {
-    ReceiveLater();
+    RetryReceive();
     return;
   }
-  mReceived += aSize;
-  mHandler(std::string_view(mBuffer.data(), aSize), EndpointOf(mSender).Text());
+  mBytesReceived += aSize;
+  mHandler(std::string_view(mBuffer.data(), aSize),
+           FromUdpEndpoint(mSender).Text());
   Receive();
 }
 
-void DatagramSocket::Impl::ReceiveLater() {
+void DatagramSocket::Impl::RetryReceive() {
   auto self = shared_from_this();
-  mPause.expires_after(kReceivePause);
-  mPause.async_wait([self](const error_code& aError) {
+  mRetryTimer.expires_after(kReceiveRetryDelay);
+  mRetryTimer.async_wait([self](const error_code& aError) {
     if (!aError) {
       self->Receive();
     }
@@ -105,14 +107,14 @@
   error_code ec;
   mSocket.send_to(asio::buffer(aBytes), aTo, 0, ec);
   if (!ec) {
-    mSent += aBytes.size();
+    mBytesSent += aBytes.size();
   }
 }
 
 void DatagramSocket::Impl::Close() {
   error_code ignored;
   mSocket.close(ignored);
-  mPause.cancel();
+  mRetryTimer.cancel();
 }
 
 DatagramSocket::DatagramSocket(asio::io_context& aContext, Handler aHandler)
@@ -121,7 +123,7 @@
 DatagramSocket::~DatagramSocket() { Stop(); }
 
 Result<Endpoint> DatagramSocket::Listen(const Endpoint& aEndpoint) {
-  const Result<udp::endpoint> local = UdpEndpoint(aEndpoint);
+  const Result<udp::endpoint> local = ToUdpEndpoint(aEndpoint);
   if (!local) {
     return local.error();
   }
@@ -144,7 +146,7 @@
   const udp::endpoint bound = socket.local_endpoint(ec);
   auto impl = mImpl;
   asio::post(mImpl->mStrand, [impl] { impl->Receive(); });
-  return EndpointOf(bound);
+  return FromUdpEndpoint(bound);
 }
 
 void DatagramSocket::Send(const std::string& aTo, std::string aBytes) {
@@ -152,7 +154,7 @@
   if (!parsed) {
     return;
   }
-  const Result<udp::endpoint> to = UdpEndpoint(*parsed);
+  const Result<udp::endpoint> to = ToUdpEndpoint(*parsed);
   if (!to) {
     return;
   }
@@ -162,9 +164,9 @@
                  });
 }
 
-uint64_t DatagramSocket::BytesSent() const { return mImpl->mSent; }
+uint64_t DatagramSocket::BytesSent() const { return mImpl->mBytesSent; }
 
-uint64_t DatagramSocket::BytesReceived() const { return mImpl->mReceived; }
+uint64_t DatagramSocket::BytesReceived() const { return mImpl->mBytesReceived; }
 
 void DatagramSocket::Stop() {
   if (mImpl->mStopped.exchange(true)) {
--- a/src/librillwall_transport/grpc_library.cpp
+++ b/src/librillwall_transport/grpc_library.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The settings of the gRPC library that hold for the whole process.
+/// Process-wide setup of the gRPC library.
 
 #include "grpc_library.h"
 
@@ -18,16 +18,17 @@
 
 constexpr size_t kMaxLogBytes = 300;
 
-/// Anyone who can connect can cause such a line, so that repeats are left out.
-void LogLine(gpr_log_func_args* aLine) {
-  const std::string_view text(aLine->message);
+/// Writes a message of gRPC to the log. Repeated messages are suppressed
+/// because anyone who can connect can cause them.
+void LogGrpcMessage(gpr_log_func_args* aMessage) {
+  const std::string_view text(aMessage->message);
   Log(Part::Peer)
       .Repeat("grpc")
-      .Warn("gRPC says: " + std::string(text.substr(0, kMaxLogBytes)));
+      .Warn("gRPC reported: " + std::string(text.substr(0, kMaxLogBytes)));
 }
 
-void Start() {
-  gpr_set_log_function(LogLine);
+void InitGrpc() {
+  gpr_set_log_function(LogGrpcMessage);
   absl::SetMutexDeadlockDetectionMode(absl::OnDeadlockCycle::kIgnore);
   grpc_init();
 }
@@ -36,7 +37,7 @@
 
 void InitGrpcOnce() {
   static std::once_flag sOnce;
-  std::call_once(sOnce, Start);
+  std::call_once(sOnce, InitGrpc);
 }
 
 }  // namespace rillwall
--- a/src/librillwall_transport/grpc_library.h
+++ b/src/librillwall_transport/grpc_library.h
@@ -1,18 +1,19 @@
 /// \file
-/// The settings of the gRPC library that hold for the whole process.
+/// Process-wide setup of the gRPC library.
 
 #pragma once
 
 namespace rillwall {
 
-/// Starts gRPC, once, for as long as the process lives. Without it the end of
-/// the last server or channel would shut the library down, which may wait 10 s
-/// for a poller of its own and would hold up a graceful shutdown.
+/// Initializes gRPC on the first call and keeps it initialized until the
+/// process ends. Otherwise the destruction of the last server or channel would
+/// shut the library down, which may wait 10 s for one of its pollers and would
+/// delay a graceful shutdown.
 ///
-/// Also turns off the search for lock cycles in the Abseil library beneath
-/// gRPC, which the distribution's package has on: it takes a third of the
-/// processor time of a call. What gRPC would write to standard error goes to
-/// the log, without repeats.
+/// Also disables the deadlock detection of Abseil's mutexes, which gRPC uses.
+/// The distribution's package enables it, and it takes a third of the processor
+/// time of a call. Messages of gRPC go to the log instead of standard error;
+/// repeated messages are suppressed.
 void InitGrpcOnce();
 
 }  // namespace rillwall
--- a/src/librillwall_transport/http_client.cpp
+++ b/src/librillwall_transport/http_client.cpp
@@ -14,26 +14,26 @@
 using TimePoint = std::chrono::steady_clock::time_point;
 
 constexpr size_t kMaxIdlePerEndpoint = 256;
-/// Less than what servers allow, so that they rarely close first.
+/// Less than the idle timeout of servers, so that they rarely close first.
 constexpr std::chrono::seconds kMaxIdleTime{20};
 constexpr std::chrono::seconds kSweepInterval{5};
 
-TimePoint DueIn(Millis aSpan) {
+TimePoint DeadlineIn(Millis aSpan) {
   return std::chrono::steady_clock::now() +
          std::chrono::milliseconds(aSpan.Count());
 }
 
-Millis Until(TimePoint aDue) {
-  const auto left = aDue - std::chrono::steady_clock::now();
+Millis RemainingTime(TimePoint aDeadline) {
+  const auto left = aDeadline - std::chrono::steady_clock::now();
   const auto count = std::chrono::ceil<std::chrono::milliseconds>(left).count();
   return Millis(std::max<int64_t>(count, 0));
 }
 
-Error CannotConnect(const Endpoint& aEndpoint, const error_code& aCode,
-                    bool aLate) {
-  return {aLate ? ErrorKind::Timeout : ErrorKind::ConnectionLost,
+Error ConnectError(const Endpoint& aEndpoint, const error_code& aCode,
+                   bool aTimedOut) {
+  return {aTimedOut ? ErrorKind::Timeout : ErrorKind::ConnectionLost,
           "Can't connect to " + aEndpoint.Text() + ": " +
-              (aLate ? "no answer in time" : aCode.message()) + ".",
+              (aTimedOut ? "no response in time" : aCode.message()) + ".",
           RunState::NotRun};
 }
 
@@ -41,25 +41,32 @@
 
 }  // namespace
 
-struct HttpClient::Impl final : HttpConnectionSink,
+struct HttpClient::Impl final : HttpConnectionPool,
                                 std::enable_shared_from_this<HttpClient::Impl> {
   Impl(asio::io_context& aContext, std::optional<TlsSettings> aTls)
       : mContext(aContext) {
     if (aTls) {
       mKeys.emplace(std::move(*aTls), TlsRole::Client);
-      mKeysFailure = mKeys->Load();
+      mKeysError = mKeys->Load();
     }
   }
 
+  /// Makes a connection available for reuse.
   void Release(Connection aConnection) override;
-  /// \return an idle connection that looks healthy, or nullptr
-  Connection Reuse(const Endpoint& aEndpoint);
-  /// Makes a connection. \return what went wrong; timed_out if it took too long
-  asio::awaitable<error_code> Dial(HttpClientConnection& aTo, TimePoint aDue);
+  /// \return an idle connection that is not known to be closed, or nullptr
+  Connection TakeIdle(const Endpoint& aEndpoint);
+  /// Connects the socket of a new connection.
+  /// \return timed_out if it was not connected in time
+  asio::awaitable<error_code> Dial(HttpClientConnection& aConnection,
+                                   TimePoint aDeadline);
   asio::awaitable<Result<Connection>> Connect(Endpoint aEndpoint,
-                                              TimePoint aDue);
+                                              TimePoint aDeadline);
   asio::awaitable<Listening> Probe(Endpoint aEndpoint, Millis aTimeout);
-  asio::awaitable<std::optional<Error>> Secure(HttpClientConnection& aTo);
+  /// Performs the TLS handshake.
+  asio::awaitable<std::optional<Error>> HandshakeTls(
+      HttpClientConnection& aConnection);
+  /// Sends a request on a pooled or new connection and reads the head of the
+  /// response.
   asio::awaitable<Result<std::unique_ptr<HttpClientCall>>> Begin(
       const Endpoint& aEndpoint, const HttpRequest& aRequest, Millis aTimeout);
   asio::awaitable<Result<HttpResponse>> Send(Endpoint aEndpoint,
@@ -67,37 +74,38 @@
                                              Millis aTimeout);
   asio::awaitable<Result<std::unique_ptr<HttpStream>>> Open(
       Endpoint aEndpoint, HttpRequest aRequest, Millis aTimeout);
-  /// A reused connection gave no answer. It may have gone silent, and the other
-  /// idle ones to that endpoint with it: they are not tried one by one.
+  /// Closes the idle connections to an endpoint after a reused one timed out.
+  /// The others may have stopped responding as well, and trying them one by one
+  /// would cost a timeout each.
   void DropIdle(const Endpoint& aEndpoint);
-  /// Closes connections that were idle for too long; under the lock.
+  /// Closes connections that were idle for too long. mMutex must be held.
   void Sweep(TimePoint aNow);
 
   asio::io_context& mContext;
-  const HttpClientConnection::Counter mOpen =
+  const HttpClientConnection::Counter mOpenCount =
       std::make_shared<std::atomic<size_t>>(0);
   std::optional<TlsKeys> mKeys;
-  std::optional<Error> mKeysFailure;  ///< of reading them at the start
-  std::atomic<uint64_t> mMade{0};
+  std::optional<Error> mKeysError;  ///< of loading them at construction
+  std::atomic<uint64_t> mConnectionsMade{0};
   Millis mConnectTimeout{std::numeric_limits<int64_t>::max()};
   std::function<Millis()> mSuspendedFor = SuspendedFor;
 
-  std::mutex mMutex;  ///< of what follows
+  std::mutex mMutex;  ///< guards the members below
   std::map<Endpoint, std::vector<Connection>> mIdle;
-  TimePoint mSweptAt;
+  TimePoint mLastSweep;
 };
 
 void HttpClient::Impl::Release(Connection aConnection) {
   const TimePoint now = std::chrono::steady_clock::now();
   aConnection->mIdleSince = now;
-  aConnection->mSuspendedBefore = mSuspendedFor();
+  aConnection->mSuspendedWhenIdle = mSuspendedFor();
   const std::lock_guard lock(mMutex);
   std::vector<Connection>& idle = mIdle[aConnection->mEndpoint];
   if (idle.size() < kMaxIdlePerEndpoint) {
     idle.push_back(std::move(aConnection));
   }
-  if (now - mSweptAt > kSweepInterval) {
-    mSweptAt = now;
+  if (now - mLastSweep > kSweepInterval) {
+    mLastSweep = now;
     Sweep(now);
   }
 }
@@ -118,7 +126,7 @@
   mIdle.erase(aEndpoint);
 }
 
-Connection HttpClient::Impl::Reuse(const Endpoint& aEndpoint) {
+Connection HttpClient::Impl::TakeIdle(const Endpoint& aEndpoint) {
   while (true) {
     Connection connection;
     {
@@ -130,33 +138,33 @@
       connection = std::move(found->second.back());
       found->second.pop_back();
     }
-    const Millis suspended = mSuspendedFor() - connection->mSuspendedBefore;
+    const Millis suspended = mSuspendedFor() - connection->mSuspendedWhenIdle;
     if (suspended < kSuspension && !connection->mSocket.Stale()) {
       return connection;
     }
   }
 }
 
-asio::awaitable<error_code> HttpClient::Impl::Dial(HttpClientConnection& aTo,
-                                                   TimePoint aDue) {
+asio::awaitable<error_code> HttpClient::Impl::Dial(
+    HttpClientConnection& aConnection, TimePoint aDeadline) {
   error_code code;
   const asio::ip::address address =
-      asio::ip::make_address(aTo.mEndpoint.mHost, code);
+      asio::ip::make_address(aConnection.mEndpoint.mHost, code);
   if (code) {
     co_return code;
   }
-  mMade.fetch_add(1);
-  const asio::ip::tcp::endpoint remote(address, aTo.mEndpoint.mPort);
-  co_return co_await aTo.mSocket.Connect(
-      remote, std::min(Until(aDue), mConnectTimeout));
+  mConnectionsMade.fetch_add(1);
+  const asio::ip::tcp::endpoint remote(address, aConnection.mEndpoint.mPort);
+  co_return co_await aConnection.mSocket.Connect(
+      remote, std::min(RemainingTime(aDeadline), mConnectTimeout));
 }
 
 asio::awaitable<Listening> HttpClient::Impl::Probe(Endpoint aEndpoint,
                                                    Millis aTimeout) {
   const std::shared_ptr<Impl> self = shared_from_this();
   auto connection =
-      std::make_unique<HttpClientConnection>(mContext, aEndpoint, mOpen);
-  const error_code code = co_await Dial(*connection, DueIn(aTimeout));
+      std::make_unique<HttpClientConnection>(mContext, aEndpoint, mOpenCount);
+  const error_code code = co_await Dial(*connection, DeadlineIn(aTimeout));
   if (code == asio::error::connection_refused) {
     co_return Listening::No;
   }
@@ -170,18 +178,18 @@
 }
 
 asio::awaitable<Result<Connection>> HttpClient::Impl::Connect(
-    Endpoint aEndpoint, TimePoint aDue) {
+    Endpoint aEndpoint, TimePoint aDeadline) {
   auto connection =
-      std::make_unique<HttpClientConnection>(mContext, aEndpoint, mOpen);
-  const error_code code = co_await Dial(*connection, aDue);
+      std::make_unique<HttpClientConnection>(mContext, aEndpoint, mOpenCount);
+  const error_code code = co_await Dial(*connection, aDeadline);
   if (code) {
-    const bool late = code == asio::error::timed_out;
-    co_return CannotConnect(aEndpoint, code, late);
+    const bool timedOut = code == asio::error::timed_out;
+    co_return ConnectError(aEndpoint, code, timedOut);
   }
   HttpSocket& socket = connection->mSocket;
-  socket.Deadline().Set(Until(aDue));
+  socket.Deadline().Set(RemainingTime(aDeadline));
   if (mKeys) {
-    std::optional<Error> error = co_await Secure(*connection);
+    std::optional<Error> error = co_await HandshakeTls(*connection);
     if (error) {
       co_return std::move(*error);
     }
@@ -189,23 +197,23 @@
   co_return connection;
 }
 
-asio::awaitable<std::optional<Error>> HttpClient::Impl::Secure(
-    HttpClientConnection& aTo) {
+asio::awaitable<std::optional<Error>> HttpClient::Impl::HandshakeTls(
+    HttpClientConnection& aConnection) {
   const TlsContext keys = mKeys->Current();
   if (!keys) {
-    co_return mKeysFailure;
+    co_return mKeysError;
   }
   const std::string& name = mKeys->Settings().mPeerName;
-  const error_code code = co_await aTo.mSocket.Secure(
-      TlsRole::Client, keys, name.empty() ? aTo.mEndpoint.mHost : name);
-  const bool late = aTo.mSocket.Deadline().Expired();
-  if (!code && !late) {
+  const error_code code = co_await aConnection.mSocket.HandshakeTls(
+      TlsRole::Client, keys, name.empty() ? aConnection.mEndpoint.mHost : name);
+  const bool timedOut = aConnection.mSocket.Deadline().Expired();
+  if (!code && !timedOut) {
     co_return std::nullopt;
   }
-  co_return Error(
-      late ? ErrorKind::Timeout : ErrorKind::ConnectionLost,
-      "No TLS with " + aTo.mEndpoint.Text() + ": " + code.message() + ".",
-      RunState::NotRun);
+  co_return Error(timedOut ? ErrorKind::Timeout : ErrorKind::ConnectionLost,
+                  "The TLS handshake with " + aConnection.mEndpoint.Text() +
+                      " failed: " + code.message() + ".",
+                  RunState::NotRun);
 }
 
 asio::awaitable<Result<std::unique_ptr<HttpClientCall>>>
@@ -215,13 +223,13 @@
     co_return Error(ErrorKind::BadRequest,
                     "The request's method or target is not valid.");
   }
-  const TimePoint due = DueIn(aTimeout);
-  Connection connection = Reuse(aEndpoint);
+  const TimePoint deadline = DeadlineIn(aTimeout);
+  Connection connection = TakeIdle(aEndpoint);
   const bool reused = connection != nullptr;
   if (reused) {
     connection->mSocket.Deadline().Set(aTimeout);
   } else {
-    Result<Connection> made = co_await Connect(aEndpoint, due);
+    Result<Connection> made = co_await Connect(aEndpoint, deadline);
     if (!made) {
       co_return made.error();
     }
@@ -261,7 +269,7 @@
   if (!call) {
     co_return call.error();
   }
-  (*call)->Pause();
+  (*call)->ClearDeadline();
   co_return std::unique_ptr<HttpStream>(std::move(*call));
 }
 
@@ -294,12 +302,14 @@
   mImpl->mSuspendedFor = std::move(aSuspendedFor);
 }
 
-uint64_t HttpClient::ConnectionsMade() const { return mImpl->mMade.load(); }
+uint64_t HttpClient::ConnectionsMade() const {
+  return mImpl->mConnectionsMade.load();
+}
 
 std::optional<Error> HttpClient::ReloadTls() {
   return mImpl->mKeys ? mImpl->mKeys->Load() : std::nullopt;
 }
 
-size_t HttpClient::Connections() const { return mImpl->mOpen->load(); }
+size_t HttpClient::Connections() const { return mImpl->mOpenCount->load(); }
 
 }  // namespace rillwall
--- a/src/librillwall_transport/http_client_connection.cpp
+++ b/src/librillwall_transport/http_client_connection.cpp
@@ -8,23 +8,23 @@
 
 constexpr size_t kReadSize = 4096;
 constexpr size_t kLargeReadSize = 64 * 1024;
-constexpr uint32_t kMaxHeader = 64 * 1024;
-/// The longest body that Send() takes in.
-constexpr uint64_t kMaxBody = 256ull * 1024 * 1024;
+constexpr uint32_t kMaxHeaderBytes = 64 * 1024;
+/// Largest body that the client accepts, in bytes.
+constexpr uint64_t kMaxBodyBytes = 256ull * 1024 * 1024;
 
-/// The status after which a connection no longer speaks HTTP.
-constexpr unsigned kSwitching = 101;
+/// After this status the connection no longer carries HTTP.
+constexpr unsigned kSwitchingProtocols = 101;
 
-constexpr bool Informational(unsigned aStatus) {
-  return aStatus >= 100 && aStatus < 200 && aStatus != kSwitching;
+constexpr bool IsInformational(unsigned aStatus) {
+  return aStatus >= 100 && aStatus < 200 && aStatus != kSwitchingProtocols;
 }
 
 }  // namespace
 
 HttpClientCall::HttpClientCall(
-    std::shared_ptr<HttpConnectionSink> aSink,
+    std::shared_ptr<HttpConnectionPool> aPool,
     std::unique_ptr<HttpClientConnection> aConnection)
-    : mSink(std::move(aSink)),
+    : mPool(std::move(aPool)),
       mConnection(std::move(aConnection)),
       mPeer(mConnection->mEndpoint.Text()) {}
 
@@ -41,14 +41,14 @@
     co_return std::nullopt;
   }
   if (result.mWritten == 0) {
-    const bool late = mConnection->mSocket.Deadline().Expired();
-    Error error(late ? ErrorKind::Timeout : ErrorKind::ConnectionLost,
+    const bool timedOut = mConnection->mSocket.Deadline().Expired();
+    Error error(timedOut ? ErrorKind::Timeout : ErrorKind::ConnectionLost,
                 "No byte of the request could be written to " + mPeer + ".",
                 RunState::NotRun);
     mConnection.reset();
     co_return error;
   }
-  // The upstream may have answered before it had read everything.
+  // The upstream may have responded before it had read the whole request.
   mWriteFailed = true;
   co_return std::nullopt;
 }
@@ -57,42 +57,42 @@
   mParser.emplace();
   mParser->eager(true);
   mParser->skip(mHeadOnly);
-  mParser->header_limit(kMaxHeader);
-  mParser->body_limit(kMaxBody);
+  mParser->header_limit(kMaxHeaderBytes);
+  mParser->body_limit(kMaxBodyBytes);
 }
 
 asio::awaitable<std::optional<Error>> HttpClientCall::ReadHead() {
   ResetParser();
   std::optional<Error> error;
   while (!error && !mParser->is_header_done()) {
-    error = co_await More();
+    error = co_await ReadMore();
     while (!error && mParser->is_header_done() &&
-           Informational(mParser->get().result_int())) {
+           IsInformational(mParser->get().result_int())) {
       ResetParser();
       error = Parse();
     }
   }
   if (!error) {
     mHead = TakeHead(*mParser);
-    Finish();
+    ReleaseWhenDone();
   }
   co_return error;
 }
 
 asio::awaitable<Result<HttpResponse>> HttpClientCall::ReadAll() {
   while (!mParser->is_done()) {
-    std::optional<Error> error = co_await More();
+    std::optional<Error> error = co_await ReadMore();
     if (error) {
       co_return std::move(*error);
     }
   }
   HttpResponse response = std::move(mHead);
   response.mBody = TakeBody();
-  Finish();
+  ReleaseWhenDone();
   co_return response;
 }
 
-void HttpClientCall::Pause() {
+void HttpClientCall::ClearDeadline() {
   if (mConnection) {
     mConnection->mSocket.Deadline().Clear();
   }
@@ -107,15 +107,15 @@
     mConnection->mSocket.Deadline().Set(aWait);
   }
   while (part.empty() && !mParser->is_done()) {
-    std::optional<Error> error = co_await More();
-    // What came before a cut is handed on first.
+    std::optional<Error> error = co_await ReadMore();
+    // Bytes received before a failure are returned before the error.
     part = TakeBody();
     if (error && part.empty()) {
       co_return std::move(*error);
     }
   }
-  Pause();
-  Finish();
+  ClearDeadline();
+  ReleaseWhenDone();
   co_return part;
 }
 
@@ -131,7 +131,7 @@
   return part;
 }
 
-asio::awaitable<std::optional<Error>> HttpClientCall::More() {
+asio::awaitable<std::optional<Error>> HttpClientCall::ReadMore() {
   HttpClientConnection& connection = *mConnection;
   const bool large = mParser->is_header_done() &&
                      mParser->content_length().value_or(0) > kReadSize;
@@ -139,17 +139,17 @@
       connection.mInput.prepare(large ? kLargeReadSize : kReadSize));
   connection.mInput.commit(bytes);
   if (connection.mSocket.Deadline().Expired()) {
-    co_return Fail(ErrorKind::Timeout, "did not answer in time");
+    co_return Fail(ErrorKind::Timeout, "did not respond in time");
   }
   if (code == asio::error::eof && mParser->got_some()) {
-    error_code cut;
-    mParser->put_eof(cut);
-    if (!cut && mParser->is_done()) {
+    error_code eofError;
+    mParser->put_eof(eofError);
+    if (!eofError && mParser->is_done()) {
       co_return std::nullopt;
     }
   }
   if (code) {
-    co_return Lost(code);
+    co_return FailDisconnected(code);
   }
   co_return Parse();
 }
@@ -158,48 +158,49 @@
   boost::beast::flat_buffer& input = mConnection->mInput;
   while (input.size() > 0 && !mParser->is_done()) {
     error_code code;
-    const size_t used = mParser->put(input.data(), code);
-    input.consume(used);
+    const size_t parsed = mParser->put(input.data(), code);
+    input.consume(parsed);
     if (code == http::error::need_more) {
       return std::nullopt;
     }
     if (code == http::error::body_limit) {
-      return Fail(ErrorKind::TooLarge, "sent an answer over the limit");
+      return Fail(ErrorKind::TooLarge, "sent a response over the size limit");
     }
     if (code) {
-      return Fail(ErrorKind::UpstreamFailed, "sent bad HTTP");
+      return Fail(ErrorKind::UpstreamFailed, "sent malformed HTTP");
     }
   }
   return std::nullopt;
 }
 
-Error HttpClientCall::Fail(ErrorKind aKind, std::string_view aWhat) {
-  const bool ran = mParser && mParser->is_header_done() &&
-                   mParser->get().result_int() / 100 == 2;
-  mFailure.emplace(aKind, mPeer + " " + std::string(aWhat) + ".",
-                   ran ? RunState::Run : RunState::Unknown);
+Error HttpClientCall::Fail(ErrorKind aKind, std::string_view aReason) {
+  const bool wasRun = mParser && mParser->is_header_done() &&
+                      mParser->get().result_int() / 100 == 2;
+  mFailure.emplace(aKind, mPeer + " " + std::string(aReason) + ".",
+                   wasRun ? RunState::Run : RunState::Unknown);
   mConnection.reset();
   return *mFailure;
 }
 
-Error HttpClientCall::Lost(const error_code& aCode) {
-  const std::string what =
-      "closed the connection before its answer was whole (" + aCode.message() +
-      ")";
-  return Fail(ErrorKind::ConnectionLost, what);
+Error HttpClientCall::FailDisconnected(const error_code& aCode) {
+  const std::string reason =
+      "closed the connection before its response was complete (" +
+      aCode.message() + ")";
+  return Fail(ErrorKind::ConnectionLost, reason);
 }
 
-void HttpClientCall::Finish() {
+void HttpClientCall::ReleaseWhenDone() {
   if (!mConnection || !mParser->is_done()) {
     return;
   }
   std::unique_ptr<HttpClientConnection> connection = std::move(mConnection);
-  // Bytes after the answer's end could be taken for the next call's answer.
+  // Bytes after the end of the response could be taken for the response to the
+  // next call.
   const bool reusable = !mWriteFailed &&
-                        mParser->get().result_int() != kSwitching &&
+                        mParser->get().result_int() != kSwitchingProtocols &&
                         mParser->keep_alive() && connection->mInput.size() == 0;
   if (connection->mSocket.Deadline().Clear() && reusable) {
-    mSink->Release(std::move(connection));
+    mPool->Release(std::move(connection));
   }
 }
 
--- a/src/librillwall_transport/http_client_connection.h
+++ b/src/librillwall_transport/http_client_connection.h
@@ -1,6 +1,6 @@
 /// \file
 /// One connection of the HTTP client, and the call that owns it until the
-/// call's answer has ended.
+/// response to the call has ended.
 
 #pragma once
 
@@ -15,52 +15,54 @@
 
 namespace rillwall {
 
-/// A connection to an upstream with what was read ahead of it.
+/// A connection to an upstream, with the bytes received but not yet parsed.
 struct HttpClientConnection {
   using Counter = std::shared_ptr<std::atomic<size_t>>;
 
-  /// \param aOpen counts the open connections
+  /// \param aOpenCount counts the open connections
   HttpClientConnection(asio::io_context& aContext, Endpoint aEndpoint,
-                       Counter aOpen)
+                       Counter aOpenCount)
       : mSocket(aContext, TcpSocket(aContext)),
         mEndpoint(std::move(aEndpoint)),
-        mOpen(std::move(aOpen)) {
-    mOpen->fetch_add(1);
+        mOpenCount(std::move(aOpenCount)) {
+    mOpenCount->fetch_add(1);
   }
-  ~HttpClientConnection() { mOpen->fetch_sub(1); }
+  ~HttpClientConnection() { mOpenCount->fetch_sub(1); }
 
   HttpSocket mSocket;
   const Endpoint mEndpoint;
-  const Counter mOpen;
+  const Counter mOpenCount;
   boost::beast::flat_buffer mInput;
   std::chrono::steady_clock::time_point mIdleSince;
-  Millis mSuspendedBefore;  ///< how long the host had been when it became idle
+  /// Total time for which the host had been suspended when this became idle.
+  Millis mSuspendedWhenIdle;
 };
 
-/// Takes back a connection whose answer has ended.
-class HttpConnectionSink {
+/// Receives the connections of calls whose response has ended, for reuse.
+class HttpConnectionPool {
  public:
-  virtual ~HttpConnectionSink() = default;
+  virtual ~HttpConnectionPool() = default;
   virtual void Release(std::unique_ptr<HttpClientConnection> aConnection) = 0;
 };
 
-/// One call: writes the request and reads the answer.
+/// One call: writes the request and reads the response.
 class HttpClientCall final : public HttpStream {
  public:
-  HttpClientCall(std::shared_ptr<HttpConnectionSink> aSink,
+  HttpClientCall(std::shared_ptr<HttpConnectionPool> aPool,
                  std::unique_ptr<HttpClientConnection> aConnection);
 
   /// Writes the request.
-  /// \return the error if not a byte of it was written or the time is over
+  /// \return an error only if no byte of it was written; after a partial write
+  /// the upstream may still respond
   asio::awaitable<std::optional<Error>> WriteRequest(
       const HttpRequest& aRequest);
-  /// Reads the answer's head. The deadline is the caller's.
+  /// Reads the head of the response. The caller sets the deadline.
   asio::awaitable<std::optional<Error>> ReadHead();
-  /// Reads the whole body. The deadline is the caller's.
+  /// Reads the whole body. The caller sets the deadline.
   asio::awaitable<Result<HttpResponse>> ReadAll();
 
-  /// Lifts the deadline until the next Read().
-  void Pause();
+  /// Removes the deadline until the next Read().
+  void ClearDeadline();
 
   const HttpResponse& Head() const override { return mHead; }
   asio::awaitable<Result<std::string>> Read(Millis aWait) override;
@@ -68,16 +70,23 @@
 
  private:
   void ResetParser();
-  /// Takes in what arrives next. Fails at a cut, at bad syntax or in time.
-  asio::awaitable<std::optional<Error>> More();
+  /// Reads and parses the bytes that arrive next.
+  /// \return an error if the connection was closed early, the syntax is invalid
+  /// or the deadline passed
+  asio::awaitable<std::optional<Error>> ReadMore();
+  /// Parses the bytes in the input buffer.
   std::optional<Error> Parse();
-  /// Gives the connection back if its answer ended properly.
-  void Finish();
-  Error Fail(ErrorKind aKind, std::string_view aWhat);
-  Error Lost(const error_code& aCode);
+  /// Returns the connection to the pool if the response is complete, or closes
+  /// it if it cannot carry another call.
+  void ReleaseWhenDone();
+  /// Fails the call and closes the connection.
+  /// \return the error, which says whether the upstream ran the request
+  Error Fail(ErrorKind aKind, std::string_view aReason);
+  Error FailDisconnected(const error_code& aCode);
+  /// \return the part of the body that was parsed since the last call
   std::string TakeBody();
 
-  const std::shared_ptr<HttpConnectionSink> mSink;
+  const std::shared_ptr<HttpConnectionPool> mPool;
   std::unique_ptr<HttpClientConnection> mConnection;
   std::string mPeer;
   std::optional<ResponseParser> mParser;
--- a/src/librillwall_transport/http_deadline.cpp
+++ b/src/librillwall_transport/http_deadline.cpp
@@ -15,23 +15,23 @@
 void SocketDeadline::Detach() {
   const std::lock_guard lock(mMutex);
   mDescriptor = -1;
-  mDue = TimePoint::max();
+  mDeadline = TimePoint::max();
 }
 
 void SocketDeadline::Set(Millis aSpan, DeadlineEffect aEffect) {
-  const TimePoint due = std::chrono::steady_clock::now() +
-                        std::chrono::milliseconds(aSpan.Count());
+  const TimePoint deadline = std::chrono::steady_clock::now() +
+                             std::chrono::milliseconds(aSpan.Count());
   const std::lock_guard lock(mMutex);
-  mDue = due;
+  mDeadline = deadline;
   mEffect = aEffect;
-  if (mDue < mArmedFor) {
+  if (mDeadline < mArmedFor) {
     Arm();
   }
 }
 
 bool SocketDeadline::Clear() {
   const std::lock_guard lock(mMutex);
-  mDue = TimePoint::max();
+  mDeadline = TimePoint::max();
   return !Expired();
 }
 
@@ -43,8 +43,8 @@
 }
 
 void SocketDeadline::Arm() {
-  mArmedFor = mDue;
-  mTimer.expires_at(mDue);
+  mArmedFor = mDeadline;
+  mTimer.expires_at(mDeadline);
   mTimer.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& aCode) {
         const std::shared_ptr<SocketDeadline> self = weak.lock();
@@ -57,14 +57,14 @@
 void SocketDeadline::Fire() {
   const std::lock_guard lock(mMutex);
   mArmedFor = TimePoint::max();
-  if (mDue == TimePoint::max()) {
+  if (mDeadline == TimePoint::max()) {
     return;
   }
-  if (std::chrono::steady_clock::now() < mDue) {
+  if (std::chrono::steady_clock::now() < mDeadline) {
     Arm();
     return;
   }
-  mDue = TimePoint::max();
+  mDeadline = TimePoint::max();
   mExpired.store(true, std::memory_order_release);
   if (mDescriptor >= 0) {
     const bool all = mEffect == DeadlineEffect::StopAll;
--- a/src/librillwall_transport/http_deadline.h
+++ b/src/librillwall_transport/http_deadline.h
@@ -1,10 +1,10 @@
 /// \file
-/// A deadline for a socket's operations, cheap to move.
+/// A deadline for the operations of a socket that is cheap to postpone.
 ///
-/// Moving the deadline costs no timer operation: the timer stays armed and
-/// looks at the deadline when it fires. On expiry the socket is shut down by
-/// its descriptor, which wakes any pending operation; that is safe from every
-/// thread, so that no strand is needed for it.
+/// Postponing the deadline needs no timer operation: the timer stays armed and
+/// compares the deadline with the clock when it fires. On expiry the socket is
+/// shut down through its descriptor, which wakes any pending operation. This is
+/// safe from every thread, so that the deadline needs no strand.
 
 #pragma once
 
@@ -21,23 +21,25 @@
 
 /// What an expired deadline does to the socket.
 enum class DeadlineEffect {
-  StopReading,  ///< wakes the reader; an answer can still be written
-  StopAll
+  StopReading,  ///< wakes the reader; a response can still be written
+  StopAll       ///< wakes reader and writer
 };
 
+/// Shuts a socket down when a deadline passes. Thread-safe.
 class SocketDeadline : public std::enable_shared_from_this<SocketDeadline> {
  public:
   explicit SocketDeadline(boost::asio::io_context& aContext);
-  /// Watches this descriptor from now on.
+  /// Sets the descriptor that is shut down on expiry.
   void Attach(int aDescriptor);
-  /// Forgets the descriptor; to be called before it is closed.
+  /// Removes the descriptor. Must be called before the descriptor is closed.
   void Detach();
-  /// Lets the operations run at most this long from now.
+  /// Sets the deadline.
+  /// \param aSpan time from now
   void Set(Millis aSpan, DeadlineEffect aEffect = DeadlineEffect::StopAll);
   /// Removes the deadline.
   /// \return whether it had not expired
   bool Clear();
-  /// Shuts the socket down now.
+  /// Shuts the socket down immediately.
   void Shutdown();
   /// \return whether the deadline passed while it was set
   bool Expired() const { return mExpired.load(std::memory_order_acquire); }
@@ -55,7 +57,7 @@
       mTimer;
   int mDescriptor = -1;
   DeadlineEffect mEffect = DeadlineEffect::StopAll;
-  TimePoint mDue = TimePoint::max();
+  TimePoint mDeadline = TimePoint::max();
   TimePoint mArmedFor = TimePoint::max();  ///< max: not armed
   std::atomic<bool> mExpired{false};
 };
--- a/src/librillwall_transport/http_message.cpp
+++ b/src/librillwall_transport/http_message.cpp
@@ -9,16 +9,16 @@
 
 constexpr std::string_view kScheme = "http://";
 
-char Lower(char aChar) {
+char ToLower(char aChar) {
   return aChar >= 'A' && aChar <= 'Z' ? static_cast<char>(aChar + 32) : aChar;
 }
 
-bool SameName(std::string_view aOne, std::string_view aOther) {
+bool EqualHeaderNames(std::string_view aOne, std::string_view aOther) {
   if (aOne.size() != aOther.size()) {
     return false;
   }
   for (size_t i = 0; i < aOne.size(); ++i) {
-    if (Lower(aOne[i]) != Lower(aOther[i])) {
+    if (ToLower(aOne[i]) != ToLower(aOther[i])) {
       return false;
     }
   }
@@ -48,7 +48,7 @@
   return out;
 }
 
-Error BadEndpoint(std::string_view aText) {
+Error EndpointError(std::string_view aText) {
   return {ErrorKind::BadRequest, "'" + std::string(aText) +
                                      "' is not an endpoint such as "
                                      "'127.0.0.1:8080'."};
@@ -64,7 +64,7 @@
   }
   const size_t colon = rest.rfind(':');
   if (colon == std::string_view::npos) {
-    return BadEndpoint(aText);
+    return EndpointError(aText);
   }
   std::string_view host = rest.substr(0, colon);
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
@@ -77,7 +77,7 @@
   boost::system::error_code invalid;
   asio::ip::make_address(endpoint.mHost, invalid);
   if (invalid || code != std::errc() || last != end || digits.empty()) {
-    return BadEndpoint(aText);
+    return EndpointError(aText);
   }
   return endpoint;
 }
@@ -91,7 +91,7 @@
 const std::string* FindHeader(const std::vector<HttpHeader>& aHeaders,
                               std::string_view aName) {
   for (const HttpHeader& header : aHeaders) {
-    if (SameName(header.mName, aName)) {
+    if (EqualHeaderNames(header.mName, aName)) {
       return &header.mValue;
     }
   }
@@ -104,17 +104,17 @@
 }
 
 std::string HttpRequest::Query(std::string_view aName) const {
-  const size_t mark = mTarget.find('?');
+  const size_t queryMark = mTarget.find('?');
   std::string_view rest =
-      mark == std::string::npos ? "" : std::string_view(mTarget);
-  rest.remove_prefix(rest.empty() ? 0 : mark + 1);
+      queryMark == std::string::npos ? "" : std::string_view(mTarget);
+  rest.remove_prefix(rest.empty() ? 0 : queryMark + 1);
   while (!rest.empty()) {
     const std::string_view pair = rest.substr(0, rest.find('&'));
     rest.remove_prefix(std::min(rest.size(), pair.size() + 1));
     const size_t equals = pair.find('=');
     if (PercentDecode(pair.substr(0, equals)) == aName) {
-      const bool bare = equals == std::string_view::npos;
-      return bare ? std::string() : PercentDecode(pair.substr(equals + 1));
+      const bool noValue = equals == std::string_view::npos;
+      return noValue ? std::string() : PercentDecode(pair.substr(equals + 1));
     }
   }
   return {};
--- a/src/librillwall_transport/http_server.cpp
+++ b/src/librillwall_transport/http_server.cpp
@@ -13,8 +13,8 @@
 using Acceptor =
     asio::basic_socket_acceptor<asio::ip::tcp, asio::io_context::executor_type>;
 
-/// Pause after a failed accept, such as one for want of descriptors.
-constexpr std::chrono::milliseconds kAcceptPause{50};
+/// Delay after a failed accept, for example when file descriptors run out.
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 constexpr int kBacklog = 1024;
 
 }  // namespace
@@ -29,9 +29,9 @@
   Result<Endpoint> Listen(const Endpoint& aEndpoint);
   std::optional<Error> LoadKeys();
   asio::awaitable<void> Accept();
-  void Take(TcpSocket aSocket);
+  void StartConnection(TcpSocket aSocket);
   void CloseAcceptor();
-  void ForEach(void (HttpServerConnection::*aAction)());
+  void ForEachConnection(void (HttpServerConnection::*aAction)());
 
   const std::shared_ptr<HttpServerShared> mShared;
   const asio::strand<asio::io_context::executor_type> mStrand;
@@ -79,20 +79,20 @@
 }
 
 asio::awaitable<void> HttpServer::Impl::Accept() {
-  asio::steady_timer pause(mShared->mContext);
+  asio::steady_timer retryTimer(mShared->mContext);
   while (mAcceptor.is_open()) {
     auto [code, socket] = co_await mAcceptor.async_accept(
         mShared->mContext, asio::as_tuple(asio::use_awaitable));
     if (!code) {
-      Take(std::move(socket));
+      StartConnection(std::move(socket));
     } else if (mAcceptor.is_open()) {
-      pause.expires_after(kAcceptPause);
-      co_await pause.async_wait(asio::as_tuple(asio::use_awaitable));
+      retryTimer.expires_after(kAcceptRetryDelay);
+      co_await retryTimer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
   }
 }
 
-void HttpServer::Impl::Take(TcpSocket aSocket) {
+void HttpServer::Impl::StartConnection(TcpSocket aSocket) {
   error_code code;
   const asio::ip::tcp::endpoint peer = aSocket.remote_endpoint(code);
   {
@@ -114,7 +114,8 @@
   });
 }
 
-void HttpServer::Impl::ForEach(void (HttpServerConnection::*aAction)()) {
+void HttpServer::Impl::ForEachConnection(
+    void (HttpServerConnection::*aAction)()) {
   const std::lock_guard lock(mShared->mMutex);
   for (HttpServerConnection* connection : mShared->mConnections) {
     (connection->*aAction)();
@@ -140,7 +141,7 @@
 void HttpServer::Drain() {
   mImpl->mShared->mDraining.store(true);
   mImpl->CloseAcceptor();
-  mImpl->ForEach(&HttpServerConnection::Drain);
+  mImpl->ForEachConnection(&HttpServerConnection::Drain);
 }
 
 size_t HttpServer::Active() const { return mImpl->mShared->mActive.load(); }
@@ -148,7 +149,7 @@
 void HttpServer::Stop() {
   mImpl->mShared->mDraining.store(true);
   mImpl->CloseAcceptor();
-  mImpl->ForEach(&HttpServerConnection::Stop);
+  mImpl->ForEachConnection(&HttpServerConnection::Stop);
 }
 
 }  // namespace rillwall
--- a/src/librillwall_transport/http_server_connection.cpp
+++ b/src/librillwall_transport/http_server_connection.cpp
@@ -13,10 +13,11 @@
 
 constexpr size_t kReadSize = 4096;
 constexpr size_t kLargeReadSize = 64 * 1024;
-/// What is discarded of a refused request, so that its answer arrives.
-constexpr size_t kMaxDiscard = 64 * 1024 * 1024;
-constexpr Millis kLingerTime{1000};
-constexpr Millis kDrainIdleTime{300};
+/// Bytes of a refused request that are read and discarded, so that the response
+/// reaches the peer.
+constexpr size_t kMaxDiscardBytes = 64 * 1024 * 1024;
+constexpr Millis kLingerTimeout{1000};
+constexpr Millis kDrainIdleTimeout{300};
 constexpr int kComplete = 0;
 constexpr int kClose = -1;
 
@@ -30,7 +31,7 @@
   return 400;
 }
 
-std::string RefusalBody(int aStatus) {
+std::string ErrorBody(int aStatus) {
   switch (aStatus) {
     case 408:
       return R"({"error":{"kind":"timeout","message":"The request did not )"
@@ -50,20 +51,20 @@
   }
 }
 
-HttpResponse Refusal(int aStatus) {
-  HttpResponse response = HttpResponse::Json(aStatus, RefusalBody(aStatus));
+HttpResponse ErrorResponse(int aStatus) {
+  HttpResponse response = HttpResponse::Json(aStatus, ErrorBody(aStatus));
   response.mHeaders.push_back({"Rillwall-Run", RunStateName(RunState::NotRun)});
   return response;
 }
 
-HttpResponse NoAnswer() {
+HttpResponse NoResponseError() {
   return HttpResponse::Json(
       500, R"({"error":{"kind":"internal","message":"The request's handler )"
-           R"(gave no answer.","remedy":"Report this with the node's dump.",)"
+           R"(sent no response.","remedy":"Report this with the node's dump.",)"
            R"("run":"unknown"}})");
 }
 
-/// The size line of a chunk.
+/// \return the size line of a chunk
 std::string ChunkHead(size_t aSize) {
   std::array<char, 2 * sizeof(size_t)> digits;
   char* const begin = digits.data();
@@ -102,11 +103,12 @@
 }
 
 void HttpServerConnection::Drain() {
-  // On the strand, so that a request that arrives now is not cut off.
+  // On the strand, so that a request that is just arriving is not aborted.
   asio::post(mStrand, [weak = weak_from_this()] {
     const std::shared_ptr<HttpServerConnection> self = weak.lock();
     if (self && self->mIdle) {
-      self->mSocket.Deadline().Set(kDrainIdleTime, DeadlineEffect::StopReading);
+      self->mSocket.Deadline().Set(kDrainIdleTimeout,
+                                   DeadlineEffect::StopReading);
     }
   });
 }
@@ -114,16 +116,17 @@
 void HttpServerConnection::Stop() { mSocket.Deadline().Shutdown(); }
 
 asio::awaitable<void> HttpServerConnection::Run() {
-  bool more = co_await Secure();
+  bool more = co_await HandshakeTls();
   if (!more) {
     mSocket.Close();
     co_return;
   }
   while (more) {
-    more = co_await ServeOne();
+    more = co_await ServeRequest();
   }
-  if (mAnswer == AnswerState::Abort) {
-    // Without chunks only a reset tells the peer that the answer is not whole.
+  if (mResponseState == ResponseState::Aborted) {
+    // Without chunks, only a reset tells the peer that the response is
+    // truncated.
     mChunked ? mSocket.Close() : mSocket.Reset();
     co_return;
   }
@@ -131,29 +134,29 @@
   mSocket.Close();
 }
 
-asio::awaitable<bool> HttpServerConnection::Secure() {
+asio::awaitable<bool> HttpServerConnection::HandshakeTls() {
   if (!mShared->mKeys) {
     co_return true;
   }
   mSocket.Deadline().Set(mShared->mLimits.mReadTimeout);
-  const error_code code = co_await mSocket.Secure(
+  const error_code code = co_await mSocket.HandshakeTls(
       TlsRole::Server, mShared->mKeys->Current(), std::string());
   co_return mSocket.Deadline().Clear() && !code;
 }
 
-asio::awaitable<bool> HttpServerConnection::ServeOne() {
+asio::awaitable<bool> HttpServerConnection::ServeRequest() {
   mParser.emplace();
   mParser->eager(true);
   mParser->header_limit(mShared->mLimits.mMaxHeader);
   mParser->body_limit(mShared->mLimits.mMaxBody);
-  mAnswer = AnswerState::None;
+  mResponseState = ResponseState::None;
   mChunked = false;
   const int status = co_await ReadRequest();
   if (status == kClose) {
     co_return false;
   }
   if (status != kComplete) {
-    co_await Refuse(status);
+    co_await RespondWithError(status);
     co_return false;
   }
   mKeepAlive = mParser->get().keep_alive();
@@ -162,7 +165,7 @@
   mParser.reset();
   mHeadOnly = request.mMethod == "HEAD";
   co_await RunHandler(request);
-  co_return mAnswer == AnswerState::Done&& mKeepAlive;
+  co_return mResponseState == ResponseState::Done&& mKeepAlive;
 }
 
 asio::awaitable<int> HttpServerConnection::ReadRequest() {
@@ -170,11 +173,11 @@
   if (mInput.size() == 0) {
     mIdle = true;
     const bool draining = mShared->mDraining.load();
-    mSocket.Deadline().Set(draining ? kDrainIdleTime : limits.mIdleTimeout,
+    mSocket.Deadline().Set(draining ? kDrainIdleTimeout : limits.mIdleTimeout,
                            DeadlineEffect::StopReading);
-    const bool some = co_await MoreInput();
+    const bool received = co_await ReadMore();
     mIdle = false;
-    if (!some) {
+    if (!received) {
       co_return kClose;
     }
   }
@@ -191,13 +194,13 @@
 }
 
 asio::awaitable<int> HttpServerConnection::ReadRest() {
-  bool continued = false;
+  bool continueSent = false;
   while (!mParser->is_done()) {
-    if (mParser->is_header_done() && !continued) {
-      continued = true;
+    if (mParser->is_header_done() && !continueSent) {
+      continueSent = true;
       co_await SendContinue();
     }
-    if (!co_await MoreInput()) {
+    if (!co_await ReadMore()) {
       co_return mSocket.Deadline().Expired() ? 408 : kClose;
     }
     const int status = Parse();
@@ -211,8 +214,8 @@
 int HttpServerConnection::Parse() {
   while (mInput.size() > 0 && !mParser->is_done()) {
     error_code code;
-    const size_t used = mParser->put(mInput.data(), code);
-    mInput.consume(used);
+    const size_t parsed = mParser->put(mInput.data(), code);
+    mInput.consume(parsed);
     if (code == http::error::need_more) {
       return kComplete;
     }
@@ -227,11 +230,11 @@
   const auto& message = mParser->get();
   const bool noHost = message.version() >= 11 &&
                       message.find(http::field::host) == message.end();
-  const bool oddCoding =
+  const bool unsupportedCoding =
       !mParser->chunked() &&
       message.find(http::field::transfer_encoding) != message.end();
   const bool connect = message.method() == http::verb::connect;
-  return noHost || oddCoding || connect ? 400 : kComplete;
+  return noHost || unsupportedCoding || connect ? 400 : kComplete;
 }
 
 asio::awaitable<void> HttpServerConnection::SendContinue() {
@@ -247,47 +250,47 @@
 asio::awaitable<void> HttpServerConnection::RunHandler(
     const HttpRequest& aRequest) {
   mShared->mActive.fetch_add(1);
-  // Only into an empty buffer: what a peer sent ahead is parsed while no read
-  // is pending, as the read's place in the buffer would move under it.
+  // Bytes in the buffer belong to the next request and are parsed while no read
+  // is pending: parsing would move the memory that a pending read writes to.
   if (mPending == nullptr && !mInputEnded && mInput.size() == 0) {
     StartRead();
   }
-  bool thrown = false;
+  bool handlerThrew = false;
   try {
     co_await mShared->mHandler(aRequest, *this);
   } catch (const std::exception&) {
-    thrown = true;
+    handlerThrew = true;
   }
-  mOnPeerGone = nullptr;
-  if (mAnswer == AnswerState::None) {
-    mKeepAlive = mKeepAlive && !thrown;
-    HttpResponse response = NoAnswer();
+  mOnPeerDisconnected = nullptr;
+  if (mResponseState == ResponseState::None) {
+    mKeepAlive = mKeepAlive && !handlerThrew;
+    HttpResponse response = NoResponseError();
     co_await Respond(std::move(response));
   }
-  if (mAnswer == AnswerState::Streaming) {
-    mAnswer = AnswerState::Abort;
+  if (mResponseState == ResponseState::Streaming) {
+    mResponseState = ResponseState::Aborted;
   }
   mShared->mActive.fetch_sub(1);
 }
 
-asio::awaitable<void> HttpServerConnection::Refuse(int aStatus) {
+asio::awaitable<void> HttpServerConnection::RespondWithError(int aStatus) {
   mKeepAlive = false;
   mHeadOnly = false;
-  HttpResponse response = Refusal(aStatus);
+  HttpResponse response = ErrorResponse(aStatus);
   co_await Respond(std::move(response));
 }
 
 asio::awaitable<void> HttpServerConnection::Linger() {
-  // Closing with unread input would reset the connection, and the peer could
-  // lose the answer that is still on its way.
+  // Closing a socket with unread input resets the connection, and the peer
+  // could lose a response that is still in transit.
   mSocket.ShutdownSend(asio::bind_executor(
       mStrand, [self = shared_from_this()](const error_code&) {}));
-  mSocket.Deadline().Set(kLingerTime);
+  mSocket.Deadline().Set(kLingerTimeout);
   size_t discarded = 0;
   do {
     discarded += mInput.size();
     mInput.clear();
-  } while (discarded < kMaxDiscard && co_await MoreInput());
+  } while (discarded < kMaxDiscardBytes && co_await ReadMore());
 }
 
 void HttpServerConnection::StartRead() {
@@ -309,9 +312,9 @@
   mInput.commit(aBytes);
   if (aCode) {
     mInputEnded = true;
-    mPeerGone.store(true);
-    if (mOnPeerGone) {
-      std::exchange(mOnPeerGone, nullptr)();
+    mPeerDisconnected.store(true);
+    if (mOnPeerDisconnected) {
+      std::exchange(mOnPeerDisconnected, nullptr)();
     }
   }
   if (aPending.mResume) {
@@ -319,7 +322,7 @@
   }
 }
 
-asio::awaitable<bool> HttpServerConnection::MoreInput() {
+asio::awaitable<bool> HttpServerConnection::ReadMore() {
   const size_t before = mInput.size();
   if (mInputEnded) {
     co_return false;
@@ -344,12 +347,12 @@
     mSocket.Deadline().Set(limit);
     co_await mSocket.WriteRest(aBuffers, result);
     if (!mSocket.Deadline().Clear()) {
-      mPeerGone.store(true);
+      mPeerDisconnected.store(true);
       co_return make_error_code(ErrorKind::Timeout);
     }
   }
   if (result.mCode) {
-    mPeerGone.store(true);
+    mPeerDisconnected.store(true);
     co_return make_error_code(ErrorKind::ConnectionLost);
   }
   co_return std::error_code();
@@ -367,7 +370,7 @@
 
 asio::awaitable<std::error_code> HttpServerConnection::Respond(
     HttpResponse aResponse) {
-  if (mAnswer != AnswerState::None) {
+  if (mResponseState != ResponseState::None) {
     co_return make_error_code(ErrorKind::Internal);
   }
   mKeepAlive = mKeepAlive && !mShared->mDraining.load();
@@ -377,17 +380,17 @@
   if (!mHeadOnly) {
     buffers[1] = asio::buffer(aResponse.mBody);
   }
-  mAnswer = AnswerState::Abort;
+  mResponseState = ResponseState::Aborted;
   const std::error_code code = co_await WriteAll(buffers);
   if (!code) {
-    mAnswer = AnswerState::Done;
+    mResponseState = ResponseState::Done;
   }
   co_return code;
 }
 
 asio::awaitable<std::error_code> HttpServerConnection::Begin(
     HttpResponse aHead) {
-  if (mAnswer != AnswerState::None) {
+  if (mResponseState != ResponseState::None) {
     co_return make_error_code(ErrorKind::Internal);
   }
   mChunked = mVersion >= 11;
@@ -395,17 +398,17 @@
   const BodyFraming framing =
       mChunked ? BodyFraming::Chunked : BodyFraming::UntilClose;
   const std::string head = ResponseHead(aHead, Framing(aHead, framing));
-  mAnswer = AnswerState::Streaming;
+  mResponseState = ResponseState::Streaming;
   const WriteBuffers buffers{asio::buffer(head)};
   co_return co_await WriteAll(buffers);
 }
 
 asio::awaitable<std::error_code> HttpServerConnection::Write(
     std::string aChunk) {
-  if (mAnswer != AnswerState::Streaming) {
+  if (mResponseState != ResponseState::Streaming) {
     co_return make_error_code(ErrorKind::Internal);
   }
-  if (mPeerGone.load()) {
+  if (mPeerDisconnected.load()) {
     co_return make_error_code(ErrorKind::ConnectionLost);
   }
   // An empty chunk would end the body.
@@ -423,7 +426,7 @@
 }
 
 asio::awaitable<std::error_code> HttpServerConnection::End() {
-  if (mAnswer != AnswerState::Streaming) {
+  if (mResponseState != ResponseState::Streaming) {
     co_return make_error_code(ErrorKind::Internal);
   }
   std::error_code code;
@@ -431,13 +434,13 @@
     const WriteBuffers buffers{asio::buffer(std::string_view("0\r\n\r\n"))};
     code = co_await WriteAll(buffers);
   }
-  mAnswer = code ? AnswerState::Abort : AnswerState::Done;
+  mResponseState = code ? ResponseState::Aborted : ResponseState::Done;
   co_return code;
 }
 
 void HttpServerConnection::Abort() {
-  if (mAnswer != AnswerState::Done) {
-    mAnswer = AnswerState::Abort;
+  if (mResponseState != ResponseState::Done) {
+    mResponseState = ResponseState::Aborted;
   }
 }
 
--- a/src/librillwall_transport/http_server_connection.h
+++ b/src/librillwall_transport/http_server_connection.h
@@ -1,10 +1,10 @@
 /// \file
-/// One connection of the HTTP server: reads requests one after another, hands
-/// each to the handler and writes its answer.
+/// One connection of the HTTP server: reads requests one after another, passes
+/// each to the handler and writes the response.
 ///
-/// Everything runs on the connection's strand. One read is kept pending also
-/// while a handler runs, unless the peer has sent something ahead: it notices a
-/// peer that goes away.
+/// All methods run on the connection's strand unless stated otherwise. While a
+/// handler runs, one read stays pending to detect that the peer disconnects,
+/// unless the peer has already sent bytes of the next request.
 
 #pragma once
 
@@ -21,7 +21,7 @@
 
 namespace rillwall {
 
-/// What a server's connections share.
+/// State shared by all connections of a server.
 struct HttpServerShared {
   HttpServerShared(asio::io_context& aContext, HttpLimits aLimits,
                    HttpHandler aHandler)
@@ -34,10 +34,11 @@
   std::atomic<bool> mDraining{false};
   std::atomic<size_t> mActive{0};
 
-  std::mutex mMutex;  ///< of what follows
+  std::mutex mMutex;  ///< guards mConnections
   std::unordered_set<class HttpServerConnection*> mConnections;
 };
 
+/// Serves one connection; also the exchange of its current request.
 class HttpServerConnection final
     : public HttpExchange,
       public std::enable_shared_from_this<HttpServerConnection> {
@@ -50,9 +51,9 @@
 
   /// Serves the connection until it ends.
   static void Start(std::shared_ptr<HttpServerConnection> aConnection);
-  /// The server drains: an idle connection ends soon. Any thread.
+  /// Shortens the idle timeout because the server drains. Thread-safe.
   void Drain();
-  /// Cuts the connection. Any thread.
+  /// Shuts the connection down. Thread-safe.
   void Stop();
 
   asio::awaitable<std::error_code> Respond(HttpResponse aResponse) override;
@@ -62,37 +63,51 @@
   void Abort() override;
   std::string Peer() const override { return mPeer; }
   bool PeerDisconnected() const override {
-    return mPeerGone.load(std::memory_order_relaxed);
+    return mPeerDisconnected.load(std::memory_order_relaxed);
   }
-  void OnPeerDisconnected(std::function<void()> aCall) override {
-    mOnPeerGone = std::move(aCall);
+  void OnPeerDisconnected(std::function<void()> aCallback) override {
+    mOnPeerDisconnected = std::move(aCallback);
   }
 
  private:
-  /// The read in flight, owned by its own completion handler.
+  /// The pending read, owned by its completion handler.
   struct PendingRead {
-    std::function<void()> mResume;  ///< set while the coroutine waits for it
+    std::function<void()> mResume;  ///< set while a coroutine awaits the read
   };
-  enum class AnswerState { None, Streaming, Done, Abort };
+  enum class ResponseState { None, Streaming, Done, Aborted };
 
   asio::awaitable<void> Run();
+  /// Performs the TLS handshake if the server uses TLS.
   /// \return whether the connection can be served
-  asio::awaitable<bool> Secure();
-  asio::awaitable<bool> ServeOne();
-  /// \return 0 for a whole request, a 4xx to answer, or -1 to just close
+  asio::awaitable<bool> HandshakeTls();
+  /// Serves one request.
+  /// \return whether the connection stays open for another one
+  asio::awaitable<bool> ServeRequest();
+  /// Reads one request.
+  /// \return 0 for a complete request, the 4xx status to respond with, or -1 to
+  /// close the connection without a response
   asio::awaitable<int> ReadRequest();
+  /// Reads until the request is complete; returns as ReadRequest().
   asio::awaitable<int> ReadRest();
+  /// Parses the bytes in the input buffer.
+  /// \return 0, or the 4xx status to respond with
   int Parse();
+  /// Checks what the parser accepts but the server does not support.
+  /// \return 0, or the 4xx status to respond with
   int CheckRequest();
   asio::awaitable<void> RunHandler(const HttpRequest& aRequest);
-  asio::awaitable<void> Refuse(int aStatus);
+  /// Responds with a 4xx status and closes the connection after it.
+  asio::awaitable<void> RespondWithError(int aStatus);
+  /// Discards input for a limited time, so that the last response arrives.
   asio::awaitable<void> Linger();
+  /// Sends "100 Continue" if the request expects it.
   asio::awaitable<void> SendContinue();
 
   void StartRead();
   void OnRead(PendingRead& aPending, const error_code& aCode, size_t aBytes);
-  /// \return whether bytes came in
-  asio::awaitable<bool> MoreInput();
+  /// Waits for the pending read, which it starts if there is none.
+  /// \return whether bytes were received
+  asio::awaitable<bool> ReadMore();
   asio::awaitable<std::error_code> WriteAll(WriteBuffers aBuffers);
   HeadOptions Framing(const HttpResponse& aHead, BodyFraming aFraming) const;
 
@@ -104,11 +119,11 @@
   std::optional<RequestParser> mParser;
   PendingRead* mPending = nullptr;
   bool mInputEnded = false;
-  std::atomic<bool> mPeerGone{false};
-  std::function<void()> mOnPeerGone;  ///< of the present handler
-  bool mIdle = false;                 ///< between two requests
+  std::atomic<bool> mPeerDisconnected{false};
+  std::function<void()> mOnPeerDisconnected;  ///< set by the current handler
+  bool mIdle = false;                         ///< between two requests
 
-  AnswerState mAnswer = AnswerState::None;
+  ResponseState mResponseState = ResponseState::None;
   bool mKeepAlive = false;
   bool mHeadOnly = false;  ///< the request's method is HEAD
   bool mChunked = false;
--- a/src/librillwall_transport/http_socket.cpp
+++ b/src/librillwall_transport/http_socket.cpp
@@ -23,13 +23,14 @@
 using KeepAliveProbes =
     asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
 
-/// A watch that waits on a silent connection is to be begun anew well before a
-/// change has to be in force (2 s after calm has come back, which takes 3 s).
+/// These TCP keepalive settings close a dead connection early enough for a
+/// watch on it to be restarted well before a change must be in force: 2 s after
+/// the disturbance has settled, which takes 3 s.
 constexpr int kKeepAliveIdleSeconds = 2;
 constexpr int kKeepAliveIntervalSeconds = 1;
 constexpr int kKeepAliveProbes = 2;
 
-/// Drops the first bytes of the buffers.
+/// Removes the first aBytes bytes from the buffers.
 void Consume(WriteBuffers& aBuffers, size_t aBytes) {
   for (asio::const_buffer& buffer : aBuffers) {
     const size_t step = std::min(aBytes, buffer.size());
@@ -44,15 +45,15 @@
     : mSocket(std::move(aSocket)),
       mDeadline(std::make_shared<SocketDeadline>(aContext)) {
   if (mSocket.is_open()) {
-    Prepare();
+    ConfigureSocket();
   }
 }
 
 HttpSocket::~HttpSocket() { Close(); }
 
-void HttpSocket::Prepare() {
+void HttpSocket::ConfigureSocket() {
   error_code ignored;
-  // A connection can go silent without a reset; a waiting call sees it by this.
+  // Keepalive ends a waiting call whose connection died without a reset.
   mSocket.set_option(asio::socket_base::keep_alive(true), ignored);
   mSocket.set_option(KeepAliveIdle(kKeepAliveIdleSeconds), ignored);
   mSocket.set_option(KeepAliveInterval(kKeepAliveIntervalSeconds), ignored);
@@ -62,20 +63,20 @@
   mDeadline->Attach(mSocket.native_handle());
 }
 
-asio::awaitable<error_code> HttpSocket::Connect(asio::ip::tcp::endpoint aTo,
-                                                Millis aLimit) {
+asio::awaitable<error_code> HttpSocket::Connect(
+    asio::ip::tcp::endpoint aEndpoint, Millis aLimit) {
   error_code code;
-  mSocket.open(aTo.protocol(), code);
+  mSocket.open(aEndpoint.protocol(), code);
   if (code) {
     co_return code;
   }
-  Prepare();
-  // Shutting a socket down does not end its connect everywhere, so that the
-  // deadline alone would not do.
+  ConfigureSocket();
+  // A timer is used instead of the deadline because shutting a socket down does
+  // not cancel a pending connect on every system.
   asio::steady_timer limit(mSocket.get_executor());
   limit.expires_after(std::chrono::milliseconds(aLimit.Count()));
   const auto ended = co_await (
-      mSocket.async_connect(aTo, asio::as_tuple(asio::use_awaitable)) ||
+      mSocket.async_connect(aEndpoint, asio::as_tuple(asio::use_awaitable)) ||
       limit.async_wait(asio::as_tuple(asio::use_awaitable)));
   if (ended.index() != 0) {
     co_return asio::error::timed_out;
@@ -83,8 +84,9 @@
   co_return std::get<0>(std::get<0>(ended));
 }
 
-asio::awaitable<error_code> HttpSocket::Secure(TlsRole aRole, TlsContext aKeys,
-                                               std::string aPeerName) {
+asio::awaitable<error_code> HttpSocket::HandshakeTls(TlsRole aRole,
+                                                     TlsContext aKeys,
+                                                     std::string aPeerName) {
   mKeys = std::move(aKeys);
   mTls = std::make_unique<asio::ssl::stream<TcpSocket&>>(mSocket, *mKeys);
   error_code code;
@@ -142,13 +144,13 @@
 
 asio::awaitable<void> HttpSocket::WriteTls(const WriteBuffers& aBuffers,
                                            WriteResult& aResult) {
-  // Together in one buffer they make fewer TLS records.
+  // Copying into one buffer results in fewer TLS records.
   std::string bytes;
   bytes.reserve(asio::buffer_size(aBuffers));
   for (const asio::const_buffer& buffer : aBuffers) {
     bytes.append(static_cast<const char*>(buffer.data()), buffer.size());
   }
-  // After a failure it can't be known how much of a record went out.
+  // After a failure it is unknown how much of a record was sent.
   aResult.mWritten = bytes.size();
   const auto [code, written] = co_await asio::async_write(
       *mTls, asio::buffer(bytes), asio::as_tuple(asio::use_awaitable));
@@ -158,7 +160,7 @@
 bool HttpSocket::Stale() {
   pollfd entry{};
   entry.fd = mSocket.native_handle();
-  // With TLS, bytes may be a matter of the protocol, such as new keys.
+  // With TLS, incoming bytes may belong to the protocol, such as a key update.
   entry.events = mTls ? POLLRDHUP : POLLIN | POLLRDHUP;
   return ::poll(&entry, 1, 0) != 0;
 }
--- a/src/librillwall_transport/http_socket.h
+++ b/src/librillwall_transport/http_socket.h
@@ -1,5 +1,5 @@
 /// \file
-/// One TCP connection, plain or with TLS, as the HTTP server and client use it.
+/// One TCP connection, plain or with TLS, for the HTTP server and client.
 
 #pragma once
 
@@ -22,21 +22,23 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-/// A socket without a type-erased executor: one call less per operation.
+/// A socket without a type-erased executor, which saves one indirect call per
+/// operation.
 using TcpSocket =
     asio::basic_stream_socket<asio::ip::tcp, asio::io_context::executor_type>;
 
 using TlsContext = std::shared_ptr<asio::ssl::context>;
 
-/// Head, body and what closes a chunk, written together.
+/// Head, body and chunk terminator, written together.
 using WriteBuffers = std::array<asio::const_buffer, 3>;
 
-/// How far a write came.
+/// The outcome of a write.
 struct WriteResult {
   error_code mCode;
-  size_t mWritten = 0;  ///< bytes that may have left; 0: surely none
+  size_t mWritten = 0;  ///< bytes that may have been sent; 0: certainly none
 };
 
+/// A connected TCP socket with a deadline and optional TLS.
 class HttpSocket {
  public:
   HttpSocket(asio::io_context& aContext, TcpSocket aSocket);
@@ -44,18 +46,20 @@
   HttpSocket(const HttpSocket&) = delete;
   HttpSocket& operator=(const HttpSocket&) = delete;
 
-  /// Connects a new socket.
-  /// \return timed_out if no connection was made in time
-  asio::awaitable<error_code> Connect(asio::ip::tcp::endpoint aTo,
+  /// Opens a new socket and connects it.
+  /// \return timed_out if the connection was not established within aLimit
+  asio::awaitable<error_code> Connect(asio::ip::tcp::endpoint aEndpoint,
                                       Millis aLimit);
 
-  /// Turns to TLS; the deadline applies.
+  /// Performs the TLS handshake; the deadline applies to it. All later reads
+  /// and writes use TLS.
   /// \param aKeys must not be nullptr
-  /// \param aPeerName name or IP number that a client demands of the peer
-  asio::awaitable<error_code> Secure(TlsRole aRole, TlsContext aKeys,
-                                     std::string aPeerName);
+  /// \param aPeerName name or IP number that a client requires in the peer's
+  /// certificate
+  asio::awaitable<error_code> HandshakeTls(TlsRole aRole, TlsContext aKeys,
+                                           std::string aPeerName);
 
-  /// Reads what is there, as Asio's async_read_some.
+  /// Reads the bytes available, as Asio's async_read_some.
   template <class Token>
   auto ReadSome(asio::mutable_buffer aBuffer, Token&& aToken) {
     if (mTls) {
@@ -68,40 +72,43 @@
     return ReadSome(aBuffer, asio::as_tuple(asio::use_awaitable));
   }
 
-  /// Writes as much as the kernel takes at once, without waiting.
+  /// Writes as much as the kernel accepts without waiting, and removes it from
+  /// aBuffers. With TLS it writes nothing.
   /// \return whether nothing is left to write or the write failed
   bool WriteNow(WriteBuffers& aBuffers, WriteResult& aResult);
-  /// Writes what WriteNow() left.
+  /// Writes the rest after WriteNow().
   asio::awaitable<void> WriteRest(WriteBuffers aBuffers, WriteResult& aResult);
 
-  /// \return whether an idle connection was closed or spoken to by the peer,
-  /// so that it can't carry a new request
+  /// \return whether the peer of an idle connection has closed it or sent
+  /// bytes, so that it cannot be used for a new request
   bool Stale();
-  /// Tells the peer that nothing more follows; it may still send.
-  /// \param aOwner handler that keeps this alive; with TLS it is called when
-  /// the peer has agreed or the connection has ended
+  /// Tells the peer that no more bytes follow; the peer may still send.
+  /// \param aHandler completion handler that keeps this alive; with TLS it is
+  /// called when the peer has confirmed the shutdown or the connection ended
   template <class Handler>
-  void ShutdownSend(Handler aOwner) {
+  void ShutdownSend(Handler aHandler) {
     if (mTls) {
-      // The message goes out at once; only the peer's reply takes time.
-      mTls->async_shutdown(std::move(aOwner));
+      // The close message is sent immediately; only the peer's reply is
+      // awaited.
+      mTls->async_shutdown(std::move(aHandler));
     }
     ShutdownTcp();
   }
-  /// Closes with a reset, so that the peer sees the answer as cut.
+  /// Closes with a TCP reset, so that the peer sees the response as truncated.
   void Reset();
   void Close();
 
   SocketDeadline& Deadline() { return *mDeadline; }
 
  private:
-  void Prepare();
+  /// Sets the socket's options and attaches the deadline.
+  void ConfigureSocket();
   void ShutdownTcp();
   asio::awaitable<void> WriteTls(const WriteBuffers& aBuffers,
                                  WriteResult& aResult);
 
   TcpSocket mSocket;
-  TlsContext mKeys;  ///< the stream refers to them
+  TlsContext mKeys;  ///< referenced by mTls
   std::unique_ptr<asio::ssl::stream<TcpSocket&>> mTls;
   std::shared_ptr<SocketDeadline> mDeadline;
 };
--- a/src/librillwall_transport/http_wire.cpp
+++ b/src/librillwall_transport/http_wire.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Headers that belong to one connection or to the framing, which each side
-/// sets anew.
-bool ConnectionHeader(http::field aField) {
+/// \return whether the header describes the connection or the framing; each
+/// hop sets such headers itself
+bool IsConnectionHeader(http::field aField) {
   switch (aField) {
     case http::field::connection:
     case http::field::content_length:
@@ -28,33 +28,34 @@
   }
 }
 
-bool ControlChar(char aChar) {
+bool IsControlChar(char aChar) {
   return (static_cast<unsigned char>(aChar) < 0x20 && aChar != '\t') ||
          aChar == 0x7f;
 }
 
-bool TokenChar(char aChar) {
+bool IsTokenChar(char aChar) {
   return aChar > 0x20 && aChar < 0x7f && aChar != ':';
 }
 
-/// Adds headers; one that could break the head apart is cleaned or left out.
+/// Adds headers. To prevent header injection, headers with an invalid name are
+/// omitted and control characters in values are replaced by spaces.
 void AddHeaders(const std::vector<HttpHeader>& aHeaders,
                 http::fields& aFields) {
   for (const HttpHeader& header : aHeaders) {
     const http::field field = http::string_to_field(header.mName);
     const bool valid =
         !header.mName.empty() &&
-        std::all_of(header.mName.begin(), header.mName.end(), TokenChar);
-    if (!valid || ConnectionHeader(field)) {
+        std::all_of(header.mName.begin(), header.mName.end(), IsTokenChar);
+    if (!valid || IsConnectionHeader(field)) {
       continue;
     }
     const std::string& value = header.mValue;
-    if (std::none_of(value.begin(), value.end(), ControlChar)) {
+    if (std::none_of(value.begin(), value.end(), IsControlChar)) {
       aFields.insert(field, header.mName, value);
       continue;
     }
     std::string cleaned = value;
-    std::replace_if(cleaned.begin(), cleaned.end(), ControlChar, ' ');
+    std::replace_if(cleaned.begin(), cleaned.end(), IsControlChar, ' ');
     aFields.insert(field, header.mName, cleaned);
   }
 }
@@ -130,7 +131,7 @@
     return static_cast<unsigned char>(aChar) > 0x20 && aChar != 0x7f;
   };
   return !method.empty() && method != "CONNECT" && !target.empty() &&
-         std::all_of(method.begin(), method.end(), TokenChar) &&
+         std::all_of(method.begin(), method.end(), IsTokenChar) &&
          std::all_of(target.begin(), target.end(), visible);
 }
 
--- a/src/librillwall_transport/http_wire.h
+++ b/src/librillwall_transport/http_wire.h
@@ -1,5 +1,5 @@
 /// \file
-/// Between Beast's messages and rillwall's.
+/// Conversions between the HTTP messages of Boost.Beast and of rillwall.
 
 #pragma once
 
@@ -21,29 +21,29 @@
 using RequestParser = http::request_parser<http::string_body>;
 using ResponseParser = http::response_parser<http::string_body>;
 
-/// How the body that follows a head is delimited.
+/// How the end of a body is marked.
 enum class BodyFraming { Length, Chunked, UntilClose };
 
-/// What a head says besides the message's own headers.
+/// What a response head says about body and connection.
 struct HeadOptions {
   BodyFraming mFraming = BodyFraming::Length;
-  uint64_t mLength = 0;
+  uint64_t mLength = 0;  ///< of the body in bytes, for BodyFraming::Length
   bool mKeepAlive = true;
-  unsigned mVersion = 11;
+  unsigned mVersion = 11;  ///< 10 for HTTP/1.0, 11 for HTTP/1.1
 };
 
-/// The bytes of an answer's head. Headers that describe the connection or the
-/// framing are left out of aHead and written as aOptions says.
+/// \return the serialized head of a response. Headers of aHead that describe
+/// the connection or the framing are replaced according to aOptions.
 std::string ResponseHead(const HttpResponse& aHead,
                          const HeadOptions& aOptions);
-/// The bytes of a request's head; Host is added if absent.
+/// \return the serialized head of a request; Host is added if absent
 std::string RequestHead(const HttpRequest& aRequest, const Endpoint& aEndpoint);
-/// \return whether method and target may stand in a request line
+/// \return whether method and target are valid in a request line
 bool ValidRequestLine(const HttpRequest& aRequest);
 
 /// Moves a parsed request out of its parser.
 HttpRequest TakeRequest(RequestParser& aParser);
-/// Status and headers of a parsed answer, without its body.
+/// \return status and headers of a parsed response, without its body
 HttpResponse TakeHead(ResponseParser& aParser);
 
 }  // namespace rillwall
--- a/src/librillwall_transport/kv_client.cpp
+++ b/src/librillwall_transport/kv_client.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-constexpr size_t kMaxValue = 1024 * 1024;
-/// A line of a watch holds the changes of one revision.
-constexpr size_t kMaxWatchLine = 64 * 1024 * 1024;
-/// The gateway's code for a call that may or may not have been taken.
+constexpr size_t kMaxValueBytes = 1024 * 1024;
+/// A line of a watch contains the changes of one revision.
+constexpr size_t kMaxWatchLineBytes = 64 * 1024 * 1024;
+/// The gateway's gRPC status code UNAVAILABLE, sent for calls that may or may
+/// not have been applied.
 constexpr int64_t kGrpcUnavailable = 14;
 
 enum class CallKind { Read, Write };
@@ -25,9 +26,9 @@
   return {ErrorKind::KvUncertain, aDetail};
 }
 
-/// Whether a 503 comes from the gateway's own store and so leaves open whether
-/// a write was taken, as after "request timed out".
-bool OpenOutcome(const std::string& aBody) {
+/// \return whether a 503 response comes from the store behind the gateway, so
+/// that a write may have been applied, as after "request timed out"
+bool MayHaveBeenApplied(const std::string& aBody) {
   const Result<json::object> body = ParseJsonObject(aBody);
   if (!body) {
     return false;
@@ -38,25 +39,27 @@
   return unavailable && message.find("no leader") == std::string::npos;
 }
 
-/// The error of a call that was answered with another status than 200.
-Error RefusalOf(CallKind aKind, const HttpResponse& aResponse) {
-  const std::string detail = "The key-value service answered with status " +
+/// \return the error of a call whose response has another status than 200
+Error StatusError(CallKind aKind, const HttpResponse& aResponse) {
+  const std::string detail = "The key-value service responded with status " +
                              std::to_string(aResponse.mStatus) + ": " +
                              aResponse.mBody.substr(0, 200) + ".";
   if (aResponse.mStatus == 400) {
     return {ErrorKind::BadRequest, detail};
   }
-  const bool open = aResponse.mStatus == 503 ? OpenOutcome(aResponse.mBody)
-                                             : aResponse.mStatus >= 500;
-  return aKind == CallKind::Write && open ? Uncertain(detail)
-                                          : Unavailable(detail);
+  const bool mayHaveBeenApplied = aResponse.mStatus == 503
+                                      ? MayHaveBeenApplied(aResponse.mBody)
+                                      : aResponse.mStatus >= 500;
+  return aKind == CallKind::Write && mayHaveBeenApplied ? Uncertain(detail)
+                                                        : Unavailable(detail);
 }
 
-/// The error of a call that was not answered.
-Error LossOf(CallKind aKind, const Error& aError) {
-  const bool open =
+/// \return the error of a call that got no valid response
+Error LostResponseError(CallKind aKind, const Error& aError) {
+  const bool mayHaveBeenApplied =
       aKind == CallKind::Write && aError.Run() != RunState::NotRun;
-  return open ? Uncertain(aError.Detail()) : Unavailable(aError.Detail());
+  return mayHaveBeenApplied ? Uncertain(aError.Detail())
+                            : Unavailable(aError.Detail());
 }
 
 HttpRequest Post(const char* aTarget, std::string aBody) {
@@ -74,24 +77,31 @@
   Impl(HttpClient& aClient, KvSettings aSettings)
       : mClient(aClient), mSettings(std::move(aSettings)) {}
 
-  /// Posts to the endpoint in use and reads the answer with aRead.
+  /// Posts a request to the current endpoint and decodes the response with
+  /// aDecode.
   template <class Value>
-  asio::awaitable<Result<Value>> Call(CallKind aKind, const char* aTarget,
-                                      std::string aBody,
-                                      Result<Value> (*aRead)(std::string_view));
-  /// \return the lease's id; 0 if none is wanted
-  asio::awaitable<Result<int64_t>> Grant(int64_t aSeconds);
+  asio::awaitable<Result<Value>> Call(
+      CallKind aKind, const char* aTarget, std::string aBody,
+      Result<Value> (*aDecode)(std::string_view));
+  /// Grants a lease if aSeconds is positive.
+  /// \return the lease's ID, or 0 if none was requested
+  asio::awaitable<Result<int64_t>> GrantLease(int64_t aSeconds);
   asio::awaitable<Result<KvSwap>> Swap(kv::SwapRequest aRequest,
                                        int64_t aLeaseSeconds);
   asio::awaitable<Error> Watch(
       HttpStream& aStream,
       const std::function<void(const std::vector<KvEvent>&)>& aOnEvents);
-  std::optional<Error> HandOn(
+  /// Delivers the events of all complete lines and removes the lines from
+  /// aText.
+  /// \return the error that ends the watch, if any
+  std::optional<Error> DeliverEvents(
       std::string& aText,
       const std::function<void(const std::vector<KvEvent>&)>& aOnEvents);
-  /// Makes later calls use another endpoint if this error speaks against the
-  /// one that was used.
-  Error Rotate(size_t aUsed, Error aError);
+  /// Counts the error and switches later calls to the next endpoint, unless the
+  /// error is BadRequest, Stale or the idle timeout of a watch.
+  /// \param aEndpoint index of the endpoint that was used
+  /// \return aError
+  Error RotateEndpoint(size_t aEndpoint, Error aError);
 
   HttpClient& mClient;
   const KvSettings mSettings;
@@ -102,14 +112,14 @@
   std::atomic<uint64_t> mErrors{0};
 };
 
-Error KvClient::Impl::Rotate(size_t aUsed, Error aError) {
-  const bool answered = aError.Kind() == ErrorKind::BadRequest ||
-                        aError.Kind() == ErrorKind::Stale ||
-                        aError.Kind() == ErrorKind::Timeout;
-  if (!answered) {
+Error KvClient::Impl::RotateEndpoint(size_t aEndpoint, Error aError) {
+  const bool keepEndpoint = aError.Kind() == ErrorKind::BadRequest ||
+                            aError.Kind() == ErrorKind::Stale ||
+                            aError.Kind() == ErrorKind::Timeout;
+  if (!keepEndpoint) {
     mErrors.fetch_add(1);
-    const size_t next = (aUsed + 1) % mSettings.mEndpoints.size();
-    mEndpoint.compare_exchange_strong(aUsed, next);
+    const size_t next = (aEndpoint + 1) % mSettings.mEndpoints.size();
+    mEndpoint.compare_exchange_strong(aEndpoint, next);
   }
   return aError;
 }
@@ -117,31 +127,32 @@
 template <class Value>
 asio::awaitable<Result<Value>> KvClient::Impl::Call(
     CallKind aKind, const char* aTarget, std::string aBody,
-    Result<Value> (*aRead)(std::string_view)) {
+    Result<Value> (*aDecode)(std::string_view)) {
   (aKind == CallKind::Read ? mReads : mWrites).fetch_add(1);
   if (mSettings.mEndpoints.empty()) {
     mErrors.fetch_add(1);
     co_return Unavailable("No endpoint of the key-value service is set.");
   }
-  const size_t used = mEndpoint.load();
+  const size_t endpoint = mEndpoint.load();
   HttpRequest request = Post(aTarget, std::move(aBody));
-  const Result<HttpResponse> answer = co_await mClient.Send(
-      mSettings.mEndpoints[used], std::move(request), mSettings.mTimeout);
-  if (!answer) {
-    co_return Rotate(used, LossOf(aKind, answer.error()));
+  const Result<HttpResponse> response = co_await mClient.Send(
+      mSettings.mEndpoints[endpoint], std::move(request), mSettings.mTimeout);
+  if (!response) {
+    co_return RotateEndpoint(endpoint,
+                             LostResponseError(aKind, response.error()));
   }
-  if (answer->mStatus != 200) {
-    co_return Rotate(used, RefusalOf(aKind, *answer));
+  if (response->mStatus != 200) {
+    co_return RotateEndpoint(endpoint, StatusError(aKind, *response));
   }
-  Result<Value> value = aRead(answer->mBody);
+  Result<Value> value = aDecode(response->mBody);
   if (!value) {
-    const Error lost = value.error().With(RunState::Unknown);
-    co_return Rotate(used, LossOf(aKind, lost));
+    const Error error = value.error().With(RunState::Unknown);
+    co_return RotateEndpoint(endpoint, LostResponseError(aKind, error));
   }
   co_return value;
 }
 
-asio::awaitable<Result<int64_t>> KvClient::Impl::Grant(int64_t aSeconds) {
+asio::awaitable<Result<int64_t>> KvClient::Impl::GrantLease(int64_t aSeconds) {
   if (aSeconds <= 0) {
     co_return 0;
   }
@@ -149,7 +160,8 @@
   Result<int64_t> lease = co_await Call<int64_t>(
       CallKind::Write, "/v3/lease/grant", std::move(body), &kv::ReadLease);
   if (!lease && lease.error().Kind() == ErrorKind::KvUncertain) {
-    // A lease without a key lapses unseen, so nothing was written.
+    // A lease to which no key is attached expires without effect, so that
+    // nothing was written.
     co_return Unavailable(lease.error().Detail());
   }
   co_return lease;
@@ -157,11 +169,11 @@
 
 asio::awaitable<Result<KvSwap>> KvClient::Impl::Swap(kv::SwapRequest aRequest,
                                                      int64_t aLeaseSeconds) {
-  if (aRequest.mValue && aRequest.mValue->size() > kMaxValue) {
+  if (aRequest.mValue && aRequest.mValue->size() > kMaxValueBytes) {
     co_return Error(ErrorKind::TooLarge,
                     "The value of '" + aRequest.mKey + "' is over 1 MB.");
   }
-  const Result<int64_t> lease = co_await Grant(aLeaseSeconds);
+  const Result<int64_t> lease = co_await GrantLease(aLeaseSeconds);
   if (!lease) {
     co_return lease.error();
   }
@@ -171,7 +183,7 @@
                                   std::move(body), &kv::ReadSwap);
 }
 
-std::optional<Error> KvClient::Impl::HandOn(
+std::optional<Error> KvClient::Impl::DeliverEvents(
     std::string& aText,
     const std::function<void(const std::vector<KvEvent>&)>& aOnEvents) {
   size_t begin = 0;
@@ -189,8 +201,8 @@
     end = aText.find('\n', begin);
   }
   aText.erase(0, begin);
-  if (aText.size() > kMaxWatchLine) {
-    return Unavailable("The key-value service sent too long a watch line.");
+  if (aText.size() > kMaxWatchLineBytes) {
+    return Unavailable("The key-value service sent a watch line over 64 MB.");
   }
   return std::nullopt;
 }
@@ -203,7 +215,8 @@
     const Result<std::string> part =
         co_await aStream.Read(mSettings.mWatchIdleTimeout);
     if (!part && part.error().Kind() == ErrorKind::Timeout) {
-      co_return Error(ErrorKind::Timeout, "The watch saw nothing for long.");
+      co_return Error(ErrorKind::Timeout,
+                      "The watch received nothing within its idle timeout.");
     }
     if (!part) {
       co_return Unavailable(part.error().Detail());
@@ -212,7 +225,7 @@
       co_return Unavailable("The key-value service ended the watch.");
     }
     text += *part;
-    const std::optional<Error> end = HandOn(text, aOnEvents);
+    const std::optional<Error> end = DeliverEvents(text, aOnEvents);
     if (end) {
       co_return *end;
     }
@@ -236,11 +249,11 @@
                                                std::string aValue,
                                                int64_t aLeaseSeconds) {
   const std::shared_ptr<Impl> impl = mImpl;
-  if (aValue.size() > kMaxValue) {
+  if (aValue.size() > kMaxValueBytes) {
     co_return Error(ErrorKind::TooLarge,
                     "The value of '" + aKey + "' is over 1 MB.");
   }
-  const Result<int64_t> lease = co_await impl->Grant(aLeaseSeconds);
+  const Result<int64_t> lease = co_await impl->GrantLease(aLeaseSeconds);
   if (!lease) {
     co_return lease.error();
   }
@@ -277,22 +290,22 @@
   if (impl->mSettings.mEndpoints.empty()) {
     co_return Unavailable("No endpoint of the key-value service is set.");
   }
-  const size_t used = impl->mEndpoint.load();
+  const size_t endpoint = impl->mEndpoint.load();
   HttpRequest request =
       Post("/v3/watch", kv::WatchBody(aPrefix, aFromRevision));
   Result<std::unique_ptr<HttpStream>> stream =
-      co_await impl->mClient.Open(impl->mSettings.mEndpoints[used],
+      co_await impl->mClient.Open(impl->mSettings.mEndpoints[endpoint],
                                   std::move(request), impl->mSettings.mTimeout);
   if (!stream) {
-    const Error lost = LossOf(CallKind::Read, stream.error());
-    co_return impl->Rotate(used, lost);
+    const Error error = LostResponseError(CallKind::Read, stream.error());
+    co_return impl->RotateEndpoint(endpoint, error);
   }
   if ((*stream)->Head().mStatus != 200) {
-    const Error refused = RefusalOf(CallKind::Read, (*stream)->Head());
-    co_return impl->Rotate(used, refused);
+    const Error error = StatusError(CallKind::Read, (*stream)->Head());
+    co_return impl->RotateEndpoint(endpoint, error);
   }
   const Error end = co_await impl->Watch(**stream, aOnEvents);
-  co_return impl->Rotate(used, end);
+  co_return impl->RotateEndpoint(endpoint, end);
 }
 
 KvCounts KvClient::Counts() const {
--- a/src/librillwall_transport/kv_codec.cpp
+++ b/src/librillwall_transport/kv_codec.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-/// Answers hold base64 of values up to a megabyte, several at a time.
+/// Responses contain several values of up to 1 MB each, in base64.
 constexpr JsonLimits kLimits{256 * 1024 * 1024, 32};
 constexpr size_t kGroupBytes = 3;
 constexpr size_t kGroupChars = 4;
 
-unsigned char* Raw(std::string& aText) {
+unsigned char* Bytes(std::string& aText) {
   return reinterpret_cast<unsigned char*>(aText.data());
 }
 
-const unsigned char* Raw(std::string_view aText) {
+const unsigned char* Bytes(std::string_view aText) {
   return reinterpret_cast<const unsigned char*>(aText.data());
 }
 
 json::object KeyRange(const std::string& aKey, bool aPrefix) {
   json::object range;
-  // An empty prefix means all keys, which etcd writes as from "\0" to "\0".
+  // An empty prefix means all keys, which etcd expresses as the range from "\0"
+  // to "\0".
   const std::string from = aPrefix && aKey.empty() ? std::string(1, 0) : aKey;
   range["key"] = EncodeBase64(from);
   if (aPrefix) {
@@ -90,7 +91,7 @@
   return header != nullptr ? JsonReader(*header).DecimalInt("revision") : 0;
 }
 
-/// The entries that the failure branch of a swap read.
+/// \return the entries read by the failure branch of a swap
 Result<std::vector<KvEntry>> ReadCurrent(const json::array* aResponses) {
   if (aResponses == nullptr || aResponses->empty()) {
     return std::vector<KvEntry>();
@@ -117,7 +118,7 @@
   event.mDeleted = reader.String("type", "PUT") == "DELETE";
   const json::value* entry = object->if_contains("kv");
   if (entry == nullptr) {
-    return Error(ErrorKind::BadRequest, "An event without 'kv' was sent.");
+    return Error(ErrorKind::BadRequest, "An event has to contain 'kv'.");
   }
   Result<KvEntry> read = ReadEntry(*entry);
   if (!read) {
@@ -127,7 +128,7 @@
   return event;
 }
 
-/// Why the service ended a watch, if it did.
+/// \return the error if the service has ended the watch, else nothing
 std::optional<Error> WatchEnd(JsonReader& aReader) {
   if (!aReader.Bool("canceled", false)) {
     return std::nullopt;
@@ -137,7 +138,7 @@
   if (compacted > 0) {
     return Error(ErrorKind::Stale, "The watch starts before revision " +
                                        std::to_string(compacted) +
-                                       ", the oldest held.");
+                                       ", the oldest one not compacted.");
   }
   return Error(ErrorKind::KvUnavailable,
                "The key-value service ended the watch: " + reason + ".");
@@ -147,10 +148,10 @@
 
 std::string EncodeBase64(std::string_view aBytes) {
   const size_t groups = (aBytes.size() + kGroupBytes - 1) / kGroupBytes;
-  // EVP_EncodeBlock ends its text with a zero byte.
+  // EVP_EncodeBlock terminates its output with a zero byte.
   std::string text(groups * kGroupChars + 1, '\0');
-  const int size =
-      EVP_EncodeBlock(Raw(text), Raw(aBytes), static_cast<int>(aBytes.size()));
+  const int size = EVP_EncodeBlock(Bytes(text), Bytes(aBytes),
+                                   static_cast<int>(aBytes.size()));
   text.resize(static_cast<size_t>(size));
   return text;
 }
@@ -160,12 +161,12 @@
     return std::nullopt;
   }
   std::string bytes(aText.size() / kGroupChars * kGroupBytes, '\0');
-  const int size =
-      EVP_DecodeBlock(Raw(bytes), Raw(aText), static_cast<int>(aText.size()));
+  const int size = EVP_DecodeBlock(Bytes(bytes), Bytes(aText),
+                                   static_cast<int>(aText.size()));
   if (size < 0) {
     return std::nullopt;
   }
-  // The padding is decoded as zero bytes.
+  // EVP_DecodeBlock decodes the padding as zero bytes.
   size_t padding = 0;
   while (padding < 2 && aText.ends_with('=')) {
     aText.remove_suffix(1);
@@ -273,7 +274,7 @@
   JsonReader reader(*object);
   KvSwap swap;
   swap.mRevision = HeaderRevision(reader);
-  // The gateway leaves out fields that are false.
+  // The gateway omits fields that are false.
   swap.mApplied = reader.Bool("succeeded", false);
   const json::array* responses = reader.Array("responses");
   if (reader.Failed()) {
--- a/src/librillwall_transport/peer_client.cpp
+++ b/src/librillwall_transport/peer_client.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// The client's side of calls between nodes: one gRPC channel a peer. Calls
-/// end on gRPC's threads and resume their coroutine where it runs.
+/// The client of the calls between nodes, with one gRPC channel per peer. Calls
+/// complete on gRPC's threads, which post the resumption of the waiting
+/// coroutine to its executor.
 
 #include <grpcpp/grpcpp.h>
 
@@ -27,18 +28,17 @@
 
 namespace {
 
-/// A restarted peer is reached again within the longest of these.
-constexpr int kFirstBackoffMs = 100;
+constexpr int kInitialBackoffMs = 100;
+/// The longest backoff limits the time to reconnect to a restarted peer.
 constexpr int kMaxBackoffMs = 1000;
-/// An attempt to connect is given up after so long.
 constexpr int kConnectTimeoutMs = 1000;
-/// The connection of a channel that is not used for so long is closed; a node
+/// The connection of a channel that is unused for this long is closed. A node
 /// talks to few peers at a time, and each connection costs memory at both ends.
 constexpr int kIdleTimeoutMs = 60000;
 
 using StubPtr = std::shared_ptr<wire::Node::Stub>;
 
-/// What one call needs until gRPC is done with it.
+/// Data of one call, which must exist until gRPC has finished the call.
 struct ClientCall {
   grpc::ClientContext mContext;
   wire::PeerRequest mRequest;
@@ -73,31 +73,31 @@
                RunState::Unknown);
 }
 
-grpc::ChannelArguments Arguments() {
+grpc::ChannelArguments MakeChannelArguments() {
   grpc::ChannelArguments out;
   out.SetMaxReceiveMessageSize(kMaxPeerMessageBytes);
   out.SetMaxSendMessageSize(kMaxPeerMessageBytes);
-  out.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kFirstBackoffMs);
+  out.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kInitialBackoffMs);
   out.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxBackoffMs);
   out.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kConnectTimeoutMs);
   out.SetInt(GRPC_ARG_CLIENT_IDLE_TIMEOUT_MS, kIdleTimeoutMs);
   out.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, kPeerKeepaliveMs);
   out.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, kPeerKeepaliveTimeoutMs);
   out.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
-  // A dropped channel closes its connection.
+  // The connection is closed together with its channel.
   out.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
-  // Callers decide whether to repeat, and peers are reached directly.
+  // Callers decide whether to retry, and peers are reached directly.
   out.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
   out.SetInt(GRPC_ARG_SERVICE_CONFIG_DISABLE_RESOLUTION, 1);
   out.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
   return out;
 }
 
-asio::awaitable<Result<wire::PeerReply>> Failed(Error aError) {
+asio::awaitable<Result<wire::PeerReply>> FailedCall(Error aError) {
   co_return aError;
 }
 
-/// \return the target by IP number, so that no name is looked up
+/// \return the gRPC target for an IP number, which needs no name resolution
 std::string TargetOf(const std::string& aAddress) {
   const bool v6 = aAddress.starts_with('[');
   return (v6 ? "ipv6:" : "ipv4:") + aAddress;
@@ -105,9 +105,10 @@
 
 using StubMap = std::map<std::string, StubPtr>;
 
-/// A call and the coroutine that waits for it. It is destroyed where the
-/// coroutine runs and never on a thread of gRPC: with the call goes the
-/// channel's last use, and the end of gRPC's last channel joins those threads.
+/// A call and the completion handler of the coroutine that waits for it. Must
+/// be destroyed on the coroutine's executor and never on a thread of gRPC: the
+/// call may hold the last reference to its channel, and destroying gRPC's last
+/// channel joins gRPC's threads.
 template <class Handler>
 struct Completion {
   using Executor =
@@ -124,10 +125,10 @@
   asio::executor_work_guard<Executor> mWork;
 };
 
-/// Resumes the coroutine.
+/// Resumes the coroutine with the result of the call.
 template <class Handler>
-void Finish(std::unique_ptr<Completion<Handler>> aCompletion,
-            const grpc::Status& aStatus) {
+void ResumeCaller(std::unique_ptr<Completion<Handler>> aCompletion,
+                  const grpc::Status& aStatus) {
   Handler handler = std::move(aCompletion->mHandler);
   asio::get_associated_cancellation_slot(handler).clear();
   auto result = ResultOf(aStatus, std::move(aCompletion->mCall->mReply));
@@ -144,10 +145,12 @@
 
   Result<StubPtr> StubOf(const std::string& aAddress);
   std::optional<Error> MakeCredentials();
+  /// Registers a call, so that Close() can cancel it.
   /// \return false after Close()
-  bool Begin(ClientCall& aCall);
+  bool Register(ClientCall& aCall);
+  /// Cancels the calls in flight and waits until they have ended.
   void Close();
-  void Retain(const std::set<std::string>& aKept);
+  void Retain(const std::set<std::string>& aAddresses);
 
   template <class Handler>
   void Start(ClientCallPtr aCall, Handler aHandler);
@@ -157,9 +160,9 @@
 
   asio::io_context& mContext;
   const std::optional<TlsSettings> mTls;
-  std::mutex mMutex;  ///< of what follows
+  std::mutex mMutex;  ///< guards the members below
   std::shared_ptr<grpc::ChannelCredentials> mCredentials;
-  std::condition_variable mEnded;
+  std::condition_variable mCallEnded;
   bool mClosed = false;
   StubMap mStubs;
   std::set<ClientCall*> mCalls;
@@ -169,21 +172,21 @@
   if (mCredentials) {
     return std::nullopt;
   }
-  auto wrong = mTls ? CheckPeerTls(*mTls) : std::nullopt;
-  if (!wrong) {
+  auto error = mTls ? CheckPeerTls(*mTls) : std::nullopt;
+  if (!error) {
     mCredentials = PeerChannelCredentials(mTls);
   }
-  return wrong;
+  return error;
 }
 
 Result<StubPtr> PeerClient::Impl::StubOf(const std::string& aAddress) {
   const std::lock_guard<std::mutex> lock(mMutex);
-  if (const auto wrong = MakeCredentials()) {
-    return *wrong;
+  if (const auto error = MakeCredentials()) {
+    return *error;
   }
   StubPtr& stub = mStubs[aAddress];
   if (!stub) {
-    grpc::ChannelArguments arguments = Arguments();
+    grpc::ChannelArguments arguments = MakeChannelArguments();
     if (mTls && !mTls->mPeerName.empty()) {
       arguments.SetSslTargetNameOverride(mTls->mPeerName);
     }
@@ -193,35 +196,35 @@
   return stub;
 }
 
-bool PeerClient::Impl::Begin(ClientCall& aCall) {
+bool PeerClient::Impl::Register(ClientCall& aCall) {
   const std::lock_guard<std::mutex> lock(mMutex);
   return !mClosed && mCalls.insert(&aCall).second;
 }
 
 void PeerClient::Impl::Close() {
-  StubMap dropped;
+  StubMap removed;
   std::unique_lock<std::mutex> lock(mMutex);
   mClosed = true;
   for (ClientCall* call : mCalls) {
     call->mContext.TryCancel();
   }
-  // Ended calls are posted to the io_context, which must still be there.
-  mEnded.wait(lock, [this] { return mCalls.empty(); });
-  dropped.swap(mStubs);
+  // Completed calls are posted to the io_context, which must still exist.
+  mCallEnded.wait(lock, [this] { return mCalls.empty(); });
+  removed.swap(mStubs);
   lock.unlock();
 }
 
-void PeerClient::Impl::Retain(const std::set<std::string>& aKept) {
-  // The end of a channel may wait for a thread of gRPC that waits for the
-  // mutex, so that it must come after the unlocking.
-  std::vector<StubPtr> dropped;
+void PeerClient::Impl::Retain(const std::set<std::string>& aAddresses) {
+  // Channels are destroyed after the mutex is unlocked: destroying a channel
+  // may wait for a thread of gRPC that waits for the mutex.
+  std::vector<StubPtr> removed;
   const std::lock_guard<std::mutex> lock(mMutex);
   std::erase_if(mStubs, [&](const StubMap::value_type& aEntry) {
-    const bool drop = !aKept.contains(aEntry.first);
-    if (drop) {
-      dropped.push_back(aEntry.second);
+    const bool obsolete = !aAddresses.contains(aEntry.first);
+    if (obsolete) {
+      removed.push_back(aEntry.second);
     }
-    return drop;
+    return obsolete;
   });
 }
 
@@ -241,12 +244,12 @@
   call.mContext.set_compression_algorithm(PeerCompression(call.mRequest));
   auto completion = std::make_unique<Completion<Handler>>(
       std::move(aCall), std::move(aHandler), mContext);
-  if (!Begin(call)) {
+  if (!Register(call)) {
     Complete(std::move(completion), grpc::Status::CANCELLED);
     return;
   }
-  // gRPC copies the callback but runs it once; a plain pointer makes sure that
-  // nothing of the call is destroyed together with a copy.
+  // gRPC copies the callback but runs it only once. The callback holds a raw
+  // pointer, so that destroying a copy does not destroy the call.
   call.mStub->async()->Call(&call.mContext, &call.mRequest, &call.mReply,
                             [self = shared_from_this(),
                              raw = completion.release()](grpc::Status aStatus) {
@@ -259,15 +262,15 @@
 template <class Handler>
 void PeerClient::Impl::Complete(
     std::unique_ptr<Completion<Handler>> aCompletion, grpc::Status aStatus) {
-  // Posting under the lock keeps Close() from returning before it is done.
+  // Posting with the mutex held prevents Close() from returning before it.
   const std::lock_guard<std::mutex> lock(mMutex);
   mCalls.erase(aCompletion->mCall.get());
   const auto executor = aCompletion->mWork.get_executor();
   asio::post(executor, [completion = std::move(aCompletion),
                         status = std::move(aStatus)]() mutable {
-    Finish(std::move(completion), status);
+    ResumeCaller(std::move(completion), status);
   });
-  mEnded.notify_all();
+  mCallEnded.notify_all();
 }
 
 PeerClient::PeerClient(asio::io_context& aContext,
@@ -282,14 +285,14 @@
     std::string aAddress, wire::PeerRequest aRequest, Millis aTimeout) {
   Result<StubPtr> stub = mImpl->StubOf(aAddress);
   if (!stub) {
-    return Failed(stub.error());
+    return FailedCall(stub.error());
   }
   auto call = std::make_shared<ClientCall>();
   call->mRequest = std::move(aRequest);
   call->mStub = std::move(*stub);
   call->mTimeout = std::chrono::milliseconds(aTimeout.Count());
-  // Not a coroutine itself: GCC 12 destroys twice what a lambda in a co_await
-  // expression captures.
+  // This function is not a coroutine because GCC 12 destroys the captures of a
+  // lambda in a co_await expression twice.
   return asio::async_initiate<const asio::use_awaitable_t<>,
                               void(Result<wire::PeerReply>)>(
       [impl = mImpl, call](auto aHandler) {
--- a/src/librillwall_transport/peer_server.cpp
+++ b/src/librillwall_transport/peer_server.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// The server's side of calls between nodes: gRPC's callback service. Each
-/// call's handler runs as a coroutine on the io_context; gRPC's own threads
-/// only move bytes.
+/// The server of the calls between nodes, implemented as a callback service of
+/// gRPC. The handler of each call runs as a coroutine on the io_context; gRPC's
+/// own threads only transfer messages.
 
 #include <grpcpp/grpcpp.h>
 
@@ -22,14 +22,14 @@
 
 namespace {
 
-/// How long Stop() lets finished calls' answers go out.
+/// Time for which Stop() waits until the replies of finished calls are sent.
 constexpr std::chrono::milliseconds kShutdownGrace{500};
-/// A connection without calls for so long is closed.
+/// A connection without calls for this long is closed.
 constexpr int kMaxConnectionIdleMs = 300000;
 
-/// One call in flight. Context, reactor and reply are gRPC's and last until
-/// Finish() was called, which the handler's end and Stop() both want to do: the
-/// first one does.
+/// One call in flight. gRPC owns context, reactor and reply, and keeps them
+/// until Finish() is called. The completion of the handler and Stop() compete
+/// to finish the call; only the first one does.
 class PendingCall {
  public:
   PendingCall(grpc::CallbackServerContext* aContext, wire::PeerReply* aReply)
@@ -39,7 +39,7 @@
 
   grpc::ServerUnaryReactor* Reactor() const { return mReactor; }
 
-  void Answer(wire::PeerReply aReply) {
+  void Respond(wire::PeerReply aReply) {
     const std::lock_guard<std::mutex> lock(mMutex);
     if (mReactor == nullptr) {
       return;
@@ -68,14 +68,15 @@
 
 using PendingCallPtr = std::shared_ptr<PendingCall>;
 
-/// The calls in flight, so that Stop() can end them. Coroutines keep it alive
-/// beyond the server's end.
+/// The calls in flight, which Stop() aborts. Running coroutines share
+/// ownership, so that this may outlive the server.
 class PendingCalls {
  public:
   explicit PendingCalls(PeerHandler aHandler) : mHandler(std::move(aHandler)) {}
 
   const PeerHandler& Handler() const { return mHandler; }
 
+  /// Registers a call.
   /// \return false after Close()
   bool Add(const PendingCallPtr& aCall) {
     const std::lock_guard<std::mutex> lock(mMutex);
@@ -87,7 +88,7 @@
     mCalls.erase(aCall);
   }
 
-  /// Ends every call and takes no more.
+  /// Aborts all calls and rejects further ones.
   void Close() {
     std::unordered_set<PendingCallPtr> calls;
     {
@@ -121,7 +122,7 @@
                             PendingCallPtr aCall, wire::PeerRequest aRequest) {
   wire::PeerReply reply =
       co_await Handle(aCalls->Handler(), std::move(aRequest));
-  aCall->Answer(std::move(reply));
+  aCall->Respond(std::move(reply));
   aCalls->Remove(aCall);
 }
 
@@ -174,8 +175,8 @@
 
 Result<Endpoint> PeerServer::Listen(const Endpoint& aEndpoint) {
   const std::optional<TlsSettings>& tls = mImpl->mTls;
-  if (const auto wrong = tls ? CheckPeerTls(*tls) : std::nullopt) {
-    return *wrong;
+  if (const auto error = tls ? CheckPeerTls(*tls) : std::nullopt) {
+    return *error;
   }
   grpc::ServerBuilder builder;
   int port = 0;
@@ -183,11 +184,11 @@
   builder.RegisterService(&mImpl->mService);
   builder.SetMaxReceiveMessageSize(kMaxPeerMessageBytes);
   builder.SetMaxSendMessageSize(kMaxPeerMessageBytes);
-  // Two processes on one port would each get some of the calls.
+  // If two processes shared a port, each would receive some of the calls.
   builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
   builder.AddChannelArgument(GRPC_ARG_MAX_CONNECTION_IDLE_MS,
                              kMaxConnectionIdleMs);
-  // Lets clients send their keepalive pings while a long call is in flight.
+  // Permits the keepalive pings that clients send during a long call.
   builder.AddChannelArgument(
       GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS,
       kPeerKeepaliveMs / 2);
@@ -196,7 +197,8 @@
     mImpl->mServer.reset();
     return Error(ErrorKind::Unavailable,
                  "Cannot serve peers on " + aEndpoint.Text() +
-                     "; is the port taken, or not an address of this host?");
+                     ". Check that the port is free and that the address "
+                     "belongs to this host.");
   }
   return Endpoint{aEndpoint.mHost, static_cast<uint16_t>(port)};
 }
--- a/src/librillwall_transport/peer_tls.cpp
+++ b/src/librillwall_transport/peer_tls.cpp
@@ -17,7 +17,7 @@
 
 constexpr unsigned kRefreshSeconds = 1;
 
-std::shared_ptr<tls::FileWatcherCertificateProvider> ProviderOf(
+std::shared_ptr<tls::FileWatcherCertificateProvider> MakeCertificateProvider(
     const TlsSettings& aSettings) {
   return std::make_shared<tls::FileWatcherCertificateProvider>(
       aSettings.mKeyFile, aSettings.mCertificateFile, aSettings.mAuthorityFile,
@@ -41,7 +41,7 @@
   if (!aSettings) {
     return grpc::InsecureServerCredentials();
   }
-  tls::TlsServerCredentialsOptions options(ProviderOf(*aSettings));
+  tls::TlsServerCredentialsOptions options(MakeCertificateProvider(*aSettings));
   options.watch_root_certs();
   options.watch_identity_key_cert_pairs();
   options.set_cert_request_type(
@@ -55,7 +55,7 @@
     return grpc::InsecureChannelCredentials();
   }
   tls::TlsChannelCredentialsOptions options;
-  options.set_certificate_provider(ProviderOf(*aSettings));
+  options.set_certificate_provider(MakeCertificateProvider(*aSettings));
   options.watch_root_certs();
   options.watch_identity_key_cert_pairs();
   options.set_certificate_verifier(
--- a/src/librillwall_transport/peer_tls.h
+++ b/src/librillwall_transport/peer_tls.h
@@ -1,9 +1,10 @@
 /// \file
-/// Mutual TLS for calls between nodes: both ends show a certificate of the
-/// fleet's authority. gRPC looks at the files each second and uses what they
-/// hold for new connections; replace them together, by the rename of a folder
-/// or a link. Until a certificate and its key match again, new connections
-/// fail.
+/// Mutual TLS for calls between nodes: client and server each present a
+/// certificate signed by the fleet's authority.
+///
+/// gRPC checks the files every second and uses their current content for new
+/// connections. The files must be replaced together, by renaming a folder or a
+/// link: while certificate and key do not match, new connections fail.
 
 #pragma once
 
@@ -17,15 +18,15 @@
 
 namespace rillwall {
 
-/// \return what is wrong with the settings or their files, if anything; all
-/// three files are needed
+/// Checks that all three files are set and can be loaded.
+/// \return an error that names the first file that cannot be loaded
 std::optional<Error> CheckPeerTls(const TlsSettings& aSettings);
 
-/// \param aSettings nullopt: connections are neither encrypted nor checked
+/// \param aSettings nullopt: without encryption and authentication
 std::shared_ptr<grpc::ServerCredentials> PeerServerCredentials(
     const std::optional<TlsSettings>& aSettings);
 
-/// \param aSettings nullopt: connections are neither encrypted nor checked
+/// \param aSettings nullopt: without encryption and authentication
 std::shared_ptr<grpc::ChannelCredentials> PeerChannelCredentials(
     const std::optional<TlsSettings>& aSettings);
 
