--- a/src/librillwall_transport/datagram_socket_test.cpp
+++ b/src/librillwall_transport/datagram_socket_test.cpp
@@ -11,14 +11,14 @@
 namespace rillwall {
 namespace {
 
-constexpr std::chrono::seconds kLongest{20};
+constexpr std::chrono::seconds kMaxWait{20};
 const Endpoint kAnyPort{"127.0.0.1", 0};
 
 class DatagramSocketTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DatagramSocketTest);
   CPPUNIT_TEST(TestSendAndReceive);
-  CPPUNIT_TEST(TestBadAddresses);
-  CPPUNIT_TEST(TestStopByHandler);
+  CPPUNIT_TEST(TestInvalidAddresses);
+  CPPUNIT_TEST(TestStopInHandler);
   CPPUNIT_TEST(TestStopWhileWaiting);
   CPPUNIT_TEST_SUITE_END();
 
@@ -39,14 +39,14 @@
     CPPUNIT_ASSERT(to && own);
     const std::string sent(1400, 'x');
     sender.Send(to->Text(), sent);
-    context.run_for(kLongest);
+    context.run_for(kMaxWait);
     CPPUNIT_ASSERT_EQUAL(sent, bytes);
     CPPUNIT_ASSERT_EQUAL(own->Text(), from);
     CPPUNIT_ASSERT_EQUAL(uint64_t{1400}, sender.BytesSent());
     CPPUNIT_ASSERT_EQUAL(uint64_t{1400}, receiver.BytesReceived());
   }
 
-  void TestBadAddresses() {
+  void TestInvalidAddresses() {
     asio::io_context context;
     DatagramSocket socket(context, [](auto, const auto&) {});
     CPPUNIT_ASSERT(!socket.Listen({"nowhere", 1}));
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, socket.BytesSent());
   }
 
-  void TestStopByHandler() {
+  void TestStopInHandler() {
     asio::io_context context;
     int received = 0;
     DatagramSocket socket(context, [&](auto, const auto&) {
@@ -73,9 +73,9 @@
     CPPUNIT_ASSERT(own);
     socket.Send(own->Text(), "first");
     socket.Send(own->Text(), "second");
-    context.run_for(kLongest);
+    context.run_for(kMaxWait);
     CPPUNIT_ASSERT_EQUAL(1, received);
-    // Nothing is left to wait for.
+    // The stopped socket leaves no pending operation in the context.
     CPPUNIT_ASSERT(context.stopped());
   }
 
@@ -86,7 +86,7 @@
     context.poll();
     CPPUNIT_ASSERT(!context.stopped());
     socket.Stop();
-    context.run_for(kLongest);
+    context.run_for(kMaxWait);
     CPPUNIT_ASSERT(context.stopped());
   }
 };
--- a/src/librillwall_transport/http_bench.cpp
+++ b/src/librillwall_transport/http_bench.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// The cost of relaying a small call: caller, relay and upstream on a thread
-/// each. The time shown is the relay thread's processor time for one call.
+/// Benchmark of relaying a small call. Caller, relay and upstream run on one
+/// thread each; the time reported is the processor time of the relay's thread
+/// per call.
 
 #include <benchmark/benchmark.h>
 
@@ -16,7 +17,7 @@
 namespace {
 
 constexpr Millis kTimeout{5000};
-constexpr int kCallsEach = 100;
+constexpr int kCallsPerCaller = 100;
 
 double ThreadSeconds(clockid_t aClock) {
   constexpr double kNanosPerSecond = 1e9;
@@ -26,7 +27,7 @@
          static_cast<double>(now.tv_nsec) / kNanosPerSecond;
 }
 
-/// An io_context on a thread of its own, whose processor time can be read.
+/// An io_context run by its own thread, whose processor time can be read.
 class Runner {
  public:
   Runner()
@@ -47,24 +48,25 @@
   clockid_t mClock{};
 };
 
-asio::awaitable<void> Answer(const HttpRequest&, HttpExchange& aExchange) {
+asio::awaitable<void> HandleUpstreamRequest(const HttpRequest&,
+                                            HttpExchange& aExchange) {
   HttpResponse response =
       HttpResponse::Json(200, R"({"street":"a","status":"open"})");
   co_await aExchange.Respond(std::move(response));
 }
 
-/// Sends calls one after another, then counts itself as done.
+/// Sends kCallsPerCaller calls one after another, then decrements aRunning.
 asio::awaitable<void> Call(HttpClient& aClient, Endpoint aRelay,
                            std::atomic<int>& aRunning,
                            std::atomic<int>& aFailed) {
-  for (int i = 0; i < kCallsEach; ++i) {
+  for (int i = 0; i < kCallsPerCaller; ++i) {
     HttpRequest request;
     request.mTarget = "/services/street/status/12";
     request.mHeaders = {{"Authorization", "Bearer 0123456789abcdef"},
                         {"Accept", "application/json"}};
-    const Result<HttpResponse> answer =
+    const Result<HttpResponse> result =
         co_await aClient.Send(aRelay, std::move(request), kTimeout);
-    aFailed += !answer || answer->mStatus != 200;
+    aFailed += !result || result->mStatus != 200;
   }
   aRunning.fetch_sub(1);
   aRunning.notify_all();
@@ -74,21 +76,22 @@
   Runner upstreamRunner;
   Runner relayRunner;
   Runner callerRunner;
-  HttpServer upstream(upstreamRunner.Context(), HttpLimits(), Answer);
-  const Endpoint upstreamAt = upstream.Listen({"127.0.0.1", 0}).value();
-  HttpClient onward(relayRunner.Context());
-  HttpServer relay(
-      relayRunner.Context(), HttpLimits(),
-      [&](const HttpRequest& aRequest,
-          HttpExchange& aExchange) -> asio::awaitable<void> {
-        HttpRequest request = aRequest;
-        Result<HttpResponse> answer =
-            co_await onward.Send(upstreamAt, std::move(request), kTimeout);
-        HttpResponse response =
-            answer ? std::move(*answer) : HttpResponse::Json(502, "{}");
-        co_await aExchange.Respond(std::move(response));
-      });
-  const Endpoint relayAt = relay.Listen({"127.0.0.1", 0}).value();
+  HttpServer upstream(upstreamRunner.Context(), HttpLimits(),
+                      HandleUpstreamRequest);
+  const Endpoint upstreamEndpoint = upstream.Listen({"127.0.0.1", 0}).value();
+  HttpClient relayClient(relayRunner.Context());
+  HttpServer relay(relayRunner.Context(), HttpLimits(),
+                   [&](const HttpRequest& aRequest,
+                       HttpExchange& aExchange) -> asio::awaitable<void> {
+                     HttpRequest request = aRequest;
+                     Result<HttpResponse> result = co_await relayClient.Send(
+                         upstreamEndpoint, std::move(request), kTimeout);
+                     HttpResponse response =
+                         result ? std::move(*result)
+                                : HttpResponse::Json(502, "{}");
+                     co_await aExchange.Respond(std::move(response));
+                   });
+  const Endpoint relayEndpoint = relay.Listen({"127.0.0.1", 0}).value();
   HttpClient client(callerRunner.Context());
   std::atomic<int> failed{0};
   const int callers = static_cast<int>(aState.range(0));
@@ -97,13 +100,14 @@
     std::atomic<int> running{callers};
     for (int i = 0; i < callers; ++i) {
       asio::co_spawn(callerRunner.Context(),
-                     Call(client, relayAt, running, failed), asio::detached);
+                     Call(client, relayEndpoint, running, failed),
+                     asio::detached);
     }
     for (int left = callers; left > 0; left = running.load()) {
       running.wait(left);
     }
     const double spent = relayRunner.Seconds() - before;
-    aState.SetIterationTime(spent / (callers * kCallsEach));
+    aState.SetIterationTime(spent / (callers * kCallsPerCaller));
   }
   aState.counters["failed"] = failed.load();
 }
--- a/src/librillwall_transport/http_client_test.cpp
+++ b/src/librillwall_transport/http_client_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What the HTTP client makes of late, crossed, cut and refused answers.
+/// Tests of the HTTP client with late, truncated, misplaced and refused
+/// responses.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -14,78 +15,84 @@
 
 namespace {
 
-constexpr const char* kWhole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+constexpr const char* kCompleteResponse =
+    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 class HttpClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpClientTest);
-  CPPUNIT_TEST(TestRunStates);
-  CPPUNIT_TEST(TestCutAnswers);
-  CPPUNIT_TEST(TestAnswerUntilClose);
-  CPPUNIT_TEST(TestStalePooledConnection);
-  CPPUNIT_TEST(TestSilentPooledConnections);
-  CPPUNIT_TEST(TestBytesAfterTheAnswer);
-  CPPUNIT_TEST(TestInformational);
-  CPPUNIT_TEST(TestHeaderInjection);
-  CPPUNIT_TEST(TestEarlyRefusalOfLargeBody);
-  CPPUNIT_TEST(TestOwnAnswersUnderTimeouts);
-  CPPUNIT_TEST(TestEarlyRelease);
+  CPPUNIT_TEST(TestRunStateOfFailedCalls);
+  CPPUNIT_TEST(TestTruncatedResponseIsAnError);
+  CPPUNIT_TEST(TestBodyUntilClose);
+  CPPUNIT_TEST(TestClosedPooledConnectionIsReplaced);
+  CPPUNIT_TEST(TestIdleConnectionsDroppedAfterTimeout);
+  CPPUNIT_TEST(TestBytesAfterResponseCloseConnection);
+  CPPUNIT_TEST(TestInformationalResponsesAreSkipped);
+  CPPUNIT_TEST(TestHeaderInjectionIsPrevented);
+  CPPUNIT_TEST(TestEarlyResponseToLargeBody);
+  CPPUNIT_TEST(TestCallsReceiveOwnResponses);
+  CPPUNIT_TEST(TestDestroyedStreamCancelsCall);
   CPPUNIT_TEST(TestProbe);
-  CPPUNIT_TEST(TestIdleWhileSuspended);
+  CPPUNIT_TEST(TestSuspensionDropsIdleConnections);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TestRunStates() {
-    Endpoint closed;
+  void TestRunStateOfFailedCalls() {
+    Endpoint closedEndpoint;
     {
-      RawUpstream gone({});
-      closed = gone.Where();
+      RawUpstream stoppedUpstream({});
+      closedEndpoint = stoppedUpstream.ListeningEndpoint();
     }
-    const Error refused = Failure(closed);
+    const Error refused = Failure(closedEndpoint);
     CPPUNIT_ASSERT(ErrorKind::ConnectionLost == refused.Kind());
     CPPUNIT_ASSERT(RunState::NotRun == refused.Run());
-    RawUpstream silent({""});
-    const Error lost = Failure(silent.Where());
+    RawUpstream closingUpstream({""});
+    const Error lost = Failure(closingUpstream.ListeningEndpoint());
     CPPUNIT_ASSERT(ErrorKind::ConnectionLost == lost.Kind());
     CPPUNIT_ASSERT(RunState::Unknown == lost.Run());
     HttpRequest request;
     request.mTarget = "/a b";
-    const Error bad = Await(mClient.Send(closed, request, kGenerous)).error();
+    const Error bad =
+        Await(mClient.Send(closedEndpoint, request, kTestTimeout)).error();
     CPPUNIT_ASSERT(ErrorKind::BadRequest == bad.Kind());
     CPPUNIT_ASSERT(RunState::NotRun == bad.Run());
   }
 
-  void TestCutAnswers() {
-    const std::vector<std::string> cuts = {
+  void TestTruncatedResponseIsAnError() {
+    const std::vector<std::string> truncated = {
         "HTTP/1.1 200", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nshor",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nshor",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nshor\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n"};
-    RawUpstream upstream(cuts);
-    for (size_t i = 0; i < cuts.size(); ++i) {
-      const Error error = Failure(upstream.Where());
+    RawUpstream upstream(truncated);
+    for (size_t i = 0; i < truncated.size(); ++i) {
+      const Error error = Failure(upstream.ListeningEndpoint());
       CPPUNIT_ASSERT(ErrorKind::ConnectionLost == error.Kind());
       CPPUNIT_ASSERT(RunState::NotRun != error.Run());
     }
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mClient.Connections());
   }
 
-  void TestAnswerUntilClose() {
+  void TestBodyUntilClose() {
     RawUpstream upstream({"HTTP/1.1 200 OK\r\n\r\nall of it"});
-    CPPUNIT_ASSERT_EQUAL(std::string("all of it"), Body(upstream.Where()));
+    CPPUNIT_ASSERT_EQUAL(std::string("all of it"),
+                         Body(upstream.ListeningEndpoint()));
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mClient.Connections());
   }
 
-  void TestStalePooledConnection() {
-    // Each connection is closed after its answer, without saying so.
-    RawUpstream upstream({kWhole, kWhole});
-    CPPUNIT_ASSERT_EQUAL(std::string("ok"), Body(upstream.Where()));
+  void TestClosedPooledConnectionIsReplaced() {
+    // The upstream closes each connection after the response without announcing
+    // it by a "Connection: close" header.
+    RawUpstream upstream({kCompleteResponse, kCompleteResponse});
+    CPPUNIT_ASSERT_EQUAL(std::string("ok"), Body(upstream.ListeningEndpoint()));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mClient.Connections());
     Await(Sleep(Millis(50)));
-    CPPUNIT_ASSERT_EQUAL(std::string("ok"), Body(upstream.Where()));
+    CPPUNIT_ASSERT_EQUAL(std::string("ok"), Body(upstream.ListeningEndpoint()));
   }
 
-  void TestSilentPooledConnections() {
-    // Connections on which two requests have come give no answer any more.
+  void TestIdleConnectionsDroppedAfterTimeout() {
+    // The server stops responding on a connection from its second request on.
+    // The client must then drop its other idle connections instead of timing
+    // out on each of them.
     std::mutex mutex;
     std::map<std::string, int> requests;
     HttpServer server(mThreads.Context(), HttpLimits(),
@@ -105,10 +112,10 @@
                         HttpResponse response;
                         co_await aExchange.Respond(std::move(response));
                       });
-    const Endpoint where = server.Listen({"127.0.0.1", 0}).value();
+    const Endpoint endpoint = server.Listen({"127.0.0.1", 0}).value();
     const auto send = [&]() {
       return asio::co_spawn(mThreads.Context(),
-                            mClient.Send(where, {}, Millis(300)),
+                            mClient.Send(endpoint, {}, Millis(300)),
                             asio::use_future);
     };
     auto first = send();
@@ -120,24 +127,24 @@
     CPPUNIT_ASSERT(send().get().has_value());
   }
 
-  void TestBytesAfterTheAnswer() {
+  void TestBytesAfterResponseCloseConnection() {
     RawUpstream upstream(
-        {std::string(kWhole) +
+        {std::string(kCompleteResponse) +
              "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong",
-         kWhole});
-    CPPUNIT_ASSERT_EQUAL(std::string("ok"), Body(upstream.Where()));
+         kCompleteResponse});
+    CPPUNIT_ASSERT_EQUAL(std::string("ok"), Body(upstream.ListeningEndpoint()));
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mClient.Connections());
-    CPPUNIT_ASSERT_EQUAL(std::string("ok"), Body(upstream.Where()));
+    CPPUNIT_ASSERT_EQUAL(std::string("ok"), Body(upstream.ListeningEndpoint()));
   }
 
-  void TestInformational() {
+  void TestInformationalResponsesAreSkipped() {
     RawUpstream upstream({std::string("HTTP/1.1 100 Continue\r\n\r\n"
                                       "HTTP/1.1 103 Early Hints\r\n\r\n") +
-                          kWhole});
-    CPPUNIT_ASSERT_EQUAL(std::string("ok"), Body(upstream.Where()));
+                          kCompleteResponse});
+    CPPUNIT_ASSERT_EQUAL(std::string("ok"), Body(upstream.ListeningEndpoint()));
   }
 
-  void TestHeaderInjection() {
+  void TestHeaderInjectionIsPrevented() {
     std::atomic<bool> injected{false};
     HttpServer server(mThreads.Context(), HttpLimits(),
                       [&](const HttpRequest& aRequest,
@@ -147,33 +154,34 @@
                         response.mBody = *aRequest.Find("X-A");
                         co_await aExchange.Respond(std::move(response));
                       });
-    const Endpoint where = server.Listen({"127.0.0.1", 0}).value();
+    const Endpoint endpoint = server.Listen({"127.0.0.1", 0}).value();
     HttpRequest request;
     request.mHeaders = {{"X-A", "1\r\nX-Evil: 2"},
                         {"Content-Length", "5"},
                         {"Bad\r\nX-Evil", "3"}};
-    const HttpResponse answer =
-        Await(mClient.Send(where, request, kGenerous)).value();
-    CPPUNIT_ASSERT_EQUAL(std::string("1  X-Evil: 2"), answer.mBody);
+    const HttpResponse response =
+        Await(mClient.Send(endpoint, request, kTestTimeout)).value();
+    CPPUNIT_ASSERT_EQUAL(std::string("1  X-Evil: 2"), response.mBody);
     CPPUNIT_ASSERT(!injected);
   }
 
-  void TestEarlyRefusalOfLargeBody() {
+  void TestEarlyResponseToLargeBody() {
     HttpLimits limits;
     limits.mMaxBody = 1000;
     HttpServer server(mThreads.Context(), limits, nullptr);
-    const Endpoint where = server.Listen({"127.0.0.1", 0}).value();
+    const Endpoint endpoint = server.Listen({"127.0.0.1", 0}).value();
     HttpRequest request;
     request.mMethod = "POST";
     request.mBody = std::string(4 * 1024 * 1024, 'x');
-    const HttpResponse answer =
-        Await(mClient.Send(where, request, kGenerous)).value();
-    CPPUNIT_ASSERT_EQUAL(413, answer.mStatus);
+    const HttpResponse response =
+        Await(mClient.Send(endpoint, request, kTestTimeout)).value();
+    CPPUNIT_ASSERT_EQUAL(413, response.mStatus);
   }
 
-  /// Many calls at once, some slower than their timeout: each gets its own
-  /// answer or none.
-  void TestOwnAnswersUnderTimeouts() {
+  /// Guards against a call receiving the response to another call: with many
+  /// concurrent calls, some slower than their timeout, each call must receive
+  /// its own response or fail.
+  void TestCallsReceiveOwnResponses() {
     constexpr int kCallers = 24;
     constexpr int kCalls = 40;
     HttpServer server(mThreads.Context(), HttpLimits(),
@@ -186,9 +194,9 @@
                         response.mBody = aRequest.mTarget + aRequest.mBody;
                         co_await aExchange.Respond(std::move(response));
                       });
-    const Endpoint where = server.Listen({"127.0.0.1", 0}).value();
-    std::atomic<int> late{0};
-    std::atomic<int> wrong{0};
+    const Endpoint endpoint = server.Listen({"127.0.0.1", 0}).value();
+    std::atomic<int> timeouts{0};
+    std::atomic<int> mismatches{0};
     const auto caller = [&](int aCaller) -> asio::awaitable<void> {
       std::mt19937 random(aCaller);
       for (int i = 0; i < kCalls; ++i) {
@@ -199,11 +207,11 @@
                           std::to_string(i) + (slow ? "slow" : "");
         request.mBody = std::string(random() % 20000, 'x');
         const std::string expected = request.mTarget + request.mBody;
-        const Millis timeout = slow ? Millis(20) : kGenerous;
-        const Result<HttpResponse> answer =
-            co_await mClient.Send(where, std::move(request), timeout);
-        late += !answer && answer.error().Kind() == ErrorKind::Timeout;
-        wrong += answer ? answer->mBody != expected : !slow;
+        const Millis timeout = slow ? Millis(20) : kTestTimeout;
+        const Result<HttpResponse> response =
+            co_await mClient.Send(endpoint, std::move(request), timeout);
+        timeouts += !response && response.error().Kind() == ErrorKind::Timeout;
+        mismatches += response ? response->mBody != expected : !slow;
       }
     };
     std::vector<std::future<void>> callers;
@@ -214,11 +222,11 @@
     for (std::future<void>& done : callers) {
       done.get();
     }
-    CPPUNIT_ASSERT_EQUAL(0, wrong.load());
-    CPPUNIT_ASSERT(late > 0);
+    CPPUNIT_ASSERT_EQUAL(0, mismatches.load());
+    CPPUNIT_ASSERT(timeouts > 0);
   }
 
-  void TestEarlyRelease() {
+  void TestDestroyedStreamCancelsCall() {
     std::atomic<bool> cancelled{false};
     HttpServer server(mThreads.Context(), HttpLimits(),
                       [&](const HttpRequest&,
@@ -233,10 +241,10 @@
                         }
                         cancelled = true;
                       });
-    const Endpoint where = server.Listen({"127.0.0.1", 0}).value();
+    const Endpoint endpoint = server.Listen({"127.0.0.1", 0}).value();
     HttpRequest request;
-    auto stream = Await(mClient.Open(where, request, kGenerous)).value();
-    CPPUNIT_ASSERT(Await(stream->Read(kGenerous)).has_value());
+    auto stream = Await(mClient.Open(endpoint, request, kTestTimeout)).value();
+    CPPUNIT_ASSERT(Await(stream->Read(kTestTimeout)).has_value());
     CPPUNIT_ASSERT(!cancelled);
     stream.reset();
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mClient.Connections());
@@ -244,24 +252,30 @@
   }
 
   void TestProbe() {
-    Endpoint closed;
+    Endpoint closedEndpoint;
     {
-      RawUpstream gone({});
-      closed = gone.Where();
+      RawUpstream stoppedUpstream({});
+      closedEndpoint = stoppedUpstream.ListeningEndpoint();
     }
-    CPPUNIT_ASSERT(Listening::No == Await(mClient.Probe(closed, kGenerous)));
-    RawUpstream lives({"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"});
+    CPPUNIT_ASSERT(Listening::No ==
+                   Await(mClient.Probe(closedEndpoint, kTestTimeout)));
+    RawUpstream listeningUpstream(
+        {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"});
     CPPUNIT_ASSERT(Listening::Yes ==
-                   Await(mClient.Probe(lives.Where(), kGenerous)));
-    // The next call uses its connection: the upstream accepts only one.
+                   Await(mClient.Probe(listeningUpstream.ListeningEndpoint(),
+                                       kTestTimeout)));
+    // The upstream accepts only one connection, so that the next call succeeds
+    // only if it uses the connection of the probe.
     HttpRequest request;
     CPPUNIT_ASSERT_EQUAL(
-        200, Await(mClient.Send(lives.Where(), request, kGenerous))->mStatus);
+        200, Await(mClient.Send(listeningUpstream.ListeningEndpoint(), request,
+                                kTestTimeout))
+                 ->mStatus);
     CPPUNIT_ASSERT(Listening::Unknown ==
-                   Await(mClient.Probe({"no address", 1}, kGenerous)));
+                   Await(mClient.Probe({"no address", 1}, kTestTimeout)));
   }
 
-  void TestIdleWhileSuspended() {
+  void TestSuspensionDropsIdleConnections() {
     std::atomic<int64_t> suspended{0};
     mClient.SetSuspendedFor([&] { return Millis(suspended.load()); });
     HttpServer server(mThreads.Context(), HttpLimits(),
@@ -270,17 +284,17 @@
                         HttpResponse response;
                         co_await aExchange.Respond(std::move(response));
                       });
-    const Endpoint where = server.Listen({"127.0.0.1", 0}).value();
+    const Endpoint endpoint = server.Listen({"127.0.0.1", 0}).value();
     HttpRequest request;
     for (int i = 0; i < 2; ++i) {
-      Await(mClient.Send(where, request, kGenerous)).value();
+      Await(mClient.Send(endpoint, request, kTestTimeout)).value();
     }
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, mClient.ConnectionsMade());
     suspended = 5000;
-    Await(mClient.Send(where, request, kGenerous)).value();
+    Await(mClient.Send(endpoint, request, kTestTimeout)).value();
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, mClient.ConnectionsMade());
-    // The new one is as good as any.
-    Await(mClient.Send(where, request, kGenerous)).value();
+    // The new connection is reused as usual.
+    Await(mClient.Send(endpoint, request, kTestTimeout)).value();
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, mClient.ConnectionsMade());
   }
 
@@ -289,11 +303,11 @@
   Value Await(asio::awaitable<Value> aWork) {
     return mThreads.Await(std::move(aWork));
   }
-  Error Failure(const Endpoint& aWhere) {
-    return Await(mClient.Send(aWhere, {}, kGenerous)).error();
+  Error Failure(const Endpoint& aEndpoint) {
+    return Await(mClient.Send(aEndpoint, {}, kTestTimeout)).error();
   }
-  std::string Body(const Endpoint& aWhere) {
-    return Await(mClient.Send(aWhere, {}, kGenerous)).value().mBody;
+  std::string Body(const Endpoint& aEndpoint) {
+    return Await(mClient.Send(aEndpoint, {}, kTestTimeout)).value().mBody;
   }
 
   ThreadedContext mThreads{4};
--- a/src/librillwall_transport/http_server_test.cpp
+++ b/src/librillwall_transport/http_server_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What the HTTP server does with bad, large, stalled and early input.
+/// Tests of the HTTP server with malformed, oversized, stalled and pipelined
+/// input, and of shutdown and connection limits.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -15,17 +16,17 @@
 
 class HttpServerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpServerTest);
-  CPPUNIT_TEST(TestMalformed);
-  CPPUNIT_TEST(TestTooLarge);
-  CPPUNIT_TEST(TestRefusedPeerMaySendOn);
-  CPPUNIT_TEST(TestStalled);
-  CPPUNIT_TEST(TestContinue);
-  CPPUNIT_TEST(TestPipelined);
-  CPPUNIT_TEST(TestSentAheadInParts);
-  CPPUNIT_TEST(TestHeadAndOldVersion);
-  CPPUNIT_TEST(TestSeesPeerGone);
-  CPPUNIT_TEST(TestNoAnswer);
-  CPPUNIT_TEST(TestDrainLetsRequestsEnd);
+  CPPUNIT_TEST(TestMalformedRequests);
+  CPPUNIT_TEST(TestOversizedRequests);
+  CPPUNIT_TEST(TestRefusedPeerIsNotReset);
+  CPPUNIT_TEST(TestStalledRequests);
+  CPPUNIT_TEST(TestExpectContinue);
+  CPPUNIT_TEST(TestPipelinedRequests);
+  CPPUNIT_TEST(TestPipelinedWhileHandlerRuns);
+  CPPUNIT_TEST(TestHeadRequestAndHttp10);
+  CPPUNIT_TEST(TestDetectsPeerDisconnect);
+  CPPUNIT_TEST(TestNoResponse);
+  CPPUNIT_TEST(TestDrainCompletesRequests);
   CPPUNIT_TEST(TestMaxConnections);
   CPPUNIT_TEST_SUITE_END();
 
@@ -41,15 +42,15 @@
                     [this](const HttpRequest& aRequest, HttpExchange& aOut) {
                       return Handle(aRequest, aOut);
                     });
-    mWhere = mServer->Listen({"127.0.0.1", 0}).value();
+    mEndpoint = mServer->Listen({"127.0.0.1", 0}).value();
   }
   void tearDown() override {
-    mRelease = true;
+    mReleaseWaiting = true;
     WaitFor([this] { return mServer->Active() == 0; });
     mServer.reset();
   }
 
-  void TestMalformed() {
+  void TestMalformedRequests() {
     AssertStatus("400", "nonsense\r\n\r\n");
     AssertStatus("400", "GET / HTTP/1.1\r\n\r\n");
     AssertStatus("400", "CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -58,22 +59,23 @@
     AssertStatus("400",
                  Post("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
                       "0\r\n\r\n"));
-    CPPUNIT_ASSERT_EQUAL(0, mRuns.load());
+    CPPUNIT_ASSERT_EQUAL(0, mHandlerRuns.load());
   }
 
-  void TestTooLarge() {
+  void TestOversizedRequests() {
     AssertStatus("413", Post("Content-Length: 5000\r\n", ""));
     AssertStatus("413",
                  Post("Content-Length: 500000\r\n", std::string(500000, 'x')));
     AssertStatus("413", Post("Transfer-Encoding: chunked\r\n",
                              "2000\r\n" + std::string(0x2000, 'x')));
     AssertStatus("431", Post("X: " + std::string(2000, 'x') + "\r\n", ""));
-    CPPUNIT_ASSERT_EQUAL(0, mRuns.load());
+    CPPUNIT_ASSERT_EQUAL(0, mHandlerRuns.load());
   }
 
-  /// A peer that is still sending is not reset, so that it reads its answer.
-  void TestRefusedPeerMaySendOn() {
-    RawPeer peer(mWhere);
+  /// Guards against resetting a refused peer that is still sending, which could
+  /// lose the response on its way to the peer.
+  void TestRefusedPeerIsNotReset() {
+    RawPeer peer(mEndpoint);
     peer.Write(Post("Content-Length: 50000\r\n", ""));
     CPPUNIT_ASSERT(peer.ReadHead().starts_with("HTTP/1.1 413"));
     for (int i = 0; i < 3; ++i) {
@@ -82,17 +84,17 @@
     }
   }
 
-  void TestStalled() {
+  void TestStalledRequests() {
     AssertStatus("408", "GET / HT");
     AssertStatus("408", Post("Content-Length: 10\r\n", "half"));
-    // A connection on which nothing was begun is closed without an answer.
-    RawPeer peer(mWhere);
+    // A connection without a request is closed without a response.
+    RawPeer peer(mEndpoint);
     CPPUNIT_ASSERT_EQUAL(std::string(), peer.ReadToEnd());
-    CPPUNIT_ASSERT_EQUAL(0, mRuns.load());
+    CPPUNIT_ASSERT_EQUAL(0, mHandlerRuns.load());
   }
 
-  void TestContinue() {
-    RawPeer peer(mWhere);
+  void TestExpectContinue() {
+    RawPeer peer(mEndpoint);
     peer.Write(Post("Expect: 100-continue\r\nContent-Length: 4\r\n", ""));
     CPPUNIT_ASSERT_EQUAL(std::string("HTTP/1.1 100 Continue\r\n\r\n"),
                          peer.ReadHead());
@@ -100,97 +102,97 @@
     CPPUNIT_ASSERT(peer.ReadToEnd().find("/ body") != std::string::npos);
   }
 
-  void TestPipelined() {
-    RawPeer peer(mWhere);
+  void TestPipelinedRequests() {
+    RawPeer peer(mEndpoint);
     std::string all;
     for (const char* path : {"/1", "/2", "/3"}) {
       all += std::string("GET ") + path + " HTTP/1.1\r\n" + kHost + "\r\n";
     }
     peer.Write(all);
-    const std::string answers = peer.ReadToEnd();
-    const size_t first = answers.find("/1 ");
-    const size_t second = answers.find("/2 ");
-    const size_t third = answers.find("/3 ");
+    const std::string responses = peer.ReadToEnd();
+    const size_t first = responses.find("/1 ");
+    const size_t second = responses.find("/2 ");
+    const size_t third = responses.find("/3 ");
     CPPUNIT_ASSERT(first < second && second < third);
     CPPUNIT_ASSERT(third != std::string::npos);
   }
 
-  void TestSentAheadInParts() {
-    RawPeer peer(mWhere);
+  void TestPipelinedWhileHandlerRuns() {
+    RawPeer peer(mEndpoint);
     const std::string rest = std::string(" HTTP/1.1\r\n") + kHost + "\r\n";
     peer.Write("GET /wait" + rest);
-    WaitFor([this] { return mRuns == 1; });
+    WaitFor([this] { return mHandlerRuns == 1; });
     peer.Write("GET /2" + rest);
     mThreads.Await(Sleep(Millis(30)));
-    mRelease = true;
-    WaitFor([this] { return mRuns == 2; });
+    mReleaseWaiting = true;
+    WaitFor([this] { return mHandlerRuns == 2; });
     peer.Write("GET /3" + rest);
-    const std::string answers = peer.ReadToEnd();
-    CPPUNIT_ASSERT_EQUAL(3, mRuns.load());
-    CPPUNIT_ASSERT(answers.find("waited") < answers.find("/2 "));
-    CPPUNIT_ASSERT(answers.find("/2 ") < answers.find("/3 "));
-    CPPUNIT_ASSERT(answers.find("/3 ") != std::string::npos);
+    const std::string responses = peer.ReadToEnd();
+    CPPUNIT_ASSERT_EQUAL(3, mHandlerRuns.load());
+    CPPUNIT_ASSERT(responses.find("waited") < responses.find("/2 "));
+    CPPUNIT_ASSERT(responses.find("/2 ") < responses.find("/3 "));
+    CPPUNIT_ASSERT(responses.find("/3 ") != std::string::npos);
   }
 
-  void TestHeadAndOldVersion() {
-    RawPeer head(mWhere);
+  void TestHeadRequestAndHttp10() {
+    RawPeer head(mEndpoint);
     head.Write("HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n");
-    const std::string answer = head.ReadToEnd();
-    CPPUNIT_ASSERT(answer.find("Content-Length: 3") != std::string::npos);
-    CPPUNIT_ASSERT(answer.ends_with("\r\n\r\n"));
-    // Before HTTP/1.1 there are no chunks: the body ends with the connection.
-    RawPeer old(mWhere);
+    const std::string response = head.ReadToEnd();
+    CPPUNIT_ASSERT(response.find("Content-Length: 3") != std::string::npos);
+    CPPUNIT_ASSERT(response.ends_with("\r\n\r\n"));
+    // HTTP/1.0 has no chunked encoding: the body ends with the connection.
+    RawPeer old(mEndpoint);
     old.Write("GET /stream HTTP/1.0\r\n\r\n");
     const std::string stream = old.ReadToEnd();
     CPPUNIT_ASSERT(stream.find("chunked") == std::string::npos);
     CPPUNIT_ASSERT(stream.ends_with("\r\n\r\npart"));
   }
 
-  void TestSeesPeerGone() {
-    RawPeer peer(mWhere);
+  void TestDetectsPeerDisconnect() {
+    RawPeer peer(mEndpoint);
     peer.Write("GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
-    WaitFor([this] { return mRuns == 1; });
-    CPPUNIT_ASSERT(!mPeerGone);
+    WaitFor([this] { return mHandlerRuns == 1; });
+    CPPUNIT_ASSERT(!mPeerDisconnected);
     peer.Close();
-    WaitFor([this] { return mPeerGone.load(); });
+    WaitFor([this] { return mPeerDisconnected.load(); });
   }
 
-  void TestNoAnswer() {
-    RawPeer cut(mWhere);
-    cut.Write(Post("Content-Length: 0\r\n", "", "/cut"));
-    CPPUNIT_ASSERT_EQUAL(std::string(), cut.ReadToEnd());
+  void TestNoResponse() {
+    RawPeer aborted(mEndpoint);
+    aborted.Write(Post("Content-Length: 0\r\n", "", "/cut"));
+    CPPUNIT_ASSERT_EQUAL(std::string(), aborted.ReadToEnd());
     AssertStatus("500", Post("Content-Length: 0\r\n", "", "/nothing"));
     AssertStatus("500", Post("Content-Length: 0\r\n", "", "/throw"));
   }
 
-  void TestDrainLetsRequestsEnd() {
-    RawPeer busy(mWhere);
-    RawPeer idle(mWhere);
+  void TestDrainCompletesRequests() {
+    RawPeer busy(mEndpoint);
+    RawPeer idle(mEndpoint);
     busy.Write("GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
     WaitFor([this] { return mServer->Active() == 1; });
     mServer->Drain();
-    // The idle one ends first; the busy one still gets its answer.
+    // The idle connection closes; the busy one still receives its response.
     CPPUNIT_ASSERT_EQUAL(std::string(), idle.ReadToEnd());
     mThreads.Await(Sleep(Millis(100)));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mServer->Active());
-    CPPUNIT_ASSERT(!mPeerGone);
-    mRelease = true;
-    const std::string answer = busy.ReadToEnd();
-    CPPUNIT_ASSERT(answer.find("waited") != std::string::npos);
-    CPPUNIT_ASSERT(answer.find("Connection: close") != std::string::npos);
-    CPPUNIT_ASSERT_THROW(RawPeer late(mWhere), std::exception);
+    CPPUNIT_ASSERT(!mPeerDisconnected);
+    mReleaseWaiting = true;
+    const std::string response = busy.ReadToEnd();
+    CPPUNIT_ASSERT(response.find("waited") != std::string::npos);
+    CPPUNIT_ASSERT(response.find("Connection: close") != std::string::npos);
+    CPPUNIT_ASSERT_THROW(RawPeer late(mEndpoint), std::exception);
   }
 
   void TestMaxConnections() {
     std::vector<std::unique_ptr<RawPeer>> peers;
     for (int i = 0; i < 4; ++i) {
-      peers.push_back(std::make_unique<RawPeer>(mWhere));
+      peers.push_back(std::make_unique<RawPeer>(mEndpoint));
       peers.back()->Write("GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
     }
     WaitFor([this] { return mServer->Active() == 4; });
-    RawPeer over(mWhere);
-    CPPUNIT_ASSERT_EQUAL(std::string(), over.ReadToEnd());
-    mRelease = true;
+    RawPeer rejected(mEndpoint);
+    CPPUNIT_ASSERT_EQUAL(std::string(), rejected.ReadToEnd());
+    mReleaseWaiting = true;
     CPPUNIT_ASSERT(peers[0]->ReadToEnd().find("waited") != std::string::npos);
   }
 
@@ -202,15 +204,15 @@
   }
 
   void AssertStatus(const std::string& aStatus, const std::string& aBytes) {
-    RawPeer peer(mWhere);
+    RawPeer peer(mEndpoint);
     peer.Write(aBytes);
-    const std::string answer = peer.ReadToEnd();
-    CPPUNIT_ASSERT_EQUAL("HTTP/1.1 " + aStatus, answer.substr(0, 12));
+    const std::string response = peer.ReadToEnd();
+    CPPUNIT_ASSERT_EQUAL("HTTP/1.1 " + aStatus, response.substr(0, 12));
   }
 
   asio::awaitable<void> Handle(const HttpRequest& aRequest,
                                HttpExchange& aExchange) {
-    ++mRuns;
+    ++mHandlerRuns;
     HttpResponse response;
     response.mBody = aRequest.mTarget + " " + aRequest.mBody;
     if (aRequest.mTarget == "/nothing") {
@@ -231,10 +233,10 @@
       co_return;
     }
     if (aRequest.mTarget == "/wait") {
-      while (!mRelease && !aExchange.PeerDisconnected()) {
+      while (!mReleaseWaiting && !aExchange.PeerDisconnected()) {
         co_await Sleep(Millis(5));
       }
-      mPeerGone = aExchange.PeerDisconnected();
+      mPeerDisconnected = aExchange.PeerDisconnected();
       response.mBody = "waited";
     }
     co_await aExchange.Respond(std::move(response));
@@ -242,10 +244,10 @@
 
   ThreadedContext mThreads;
   std::optional<HttpServer> mServer;
-  Endpoint mWhere;
-  std::atomic<int> mRuns{0};
-  std::atomic<bool> mRelease{false};
-  std::atomic<bool> mPeerGone{false};
+  Endpoint mEndpoint;
+  std::atomic<int> mHandlerRuns{0};
+  std::atomic<bool> mReleaseWaiting{false};
+  std::atomic<bool> mPeerDisconnected{false};
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(HttpServerTest);
--- a/src/librillwall_transport/http_test.cpp
+++ b/src/librillwall_transport/http_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The HTTP server and client together.
+/// Tests of the HTTP server and client together.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Streams, echoes, cuts or stays silent, as the path says.
+/// Echoes the request, streams a response, truncates a stream or sends no
+/// response, depending on the path.
 asio::awaitable<void> Handle(const HttpRequest& aRequest,
                              HttpExchange& aExchange) {
   HttpResponse response;
@@ -36,43 +37,45 @@
 
 class HttpTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpTest);
-  CPPUNIT_TEST(TestRequestAndAnswer);
-  CPPUNIT_TEST(TestStreamedAnswer);
-  CPPUNIT_TEST(TestCutStreamIsAnError);
-  CPPUNIT_TEST(TestCutBeforeTheAnswer);
+  CPPUNIT_TEST(TestRequestAndResponse);
+  CPPUNIT_TEST(TestStreamedResponse);
+  CPPUNIT_TEST(TestTruncatedStreamIsAnError);
+  CPPUNIT_TEST(TestAbortBeforeResponse);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override {
     mServer.emplace(mThreads.Context(), HttpLimits(), Handle);
-    mWhere = mServer->Listen({"127.0.0.1", 0}).value();
+    mEndpoint = mServer->Listen({"127.0.0.1", 0}).value();
   }
   void tearDown() override { mServer.reset(); }
 
-  void TestRequestAndAnswer() {
+  void TestRequestAndResponse() {
     for (int i = 0; i < 3; ++i) {
       HttpRequest request;
       request.mMethod = "POST";
       request.mTarget = "/echo?q=a%20b";
       request.mBody = "body" + std::to_string(i);
-      const HttpResponse answer =
-          mThreads.Await(mClient.Send(mWhere, request, kGenerous)).value();
-      CPPUNIT_ASSERT_EQUAL(200, answer.mStatus);
-      CPPUNIT_ASSERT_EQUAL("POST " + request.mBody, answer.mBody);
-      CPPUNIT_ASSERT_EQUAL(std::string("a b"), *answer.Find("x-query"));
+      const HttpResponse response =
+          mThreads.Await(mClient.Send(mEndpoint, request, kTestTimeout))
+              .value();
+      CPPUNIT_ASSERT_EQUAL(200, response.mStatus);
+      CPPUNIT_ASSERT_EQUAL("POST " + request.mBody, response.mBody);
+      CPPUNIT_ASSERT_EQUAL(std::string("a b"), *response.Find("x-query"));
     }
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mClient.Connections());
   }
 
-  void TestStreamedAnswer() {
+  void TestStreamedResponse() {
     HttpRequest request;
     request.mTarget = "/stream";
     auto stream =
-        mThreads.Await(mClient.Open(mWhere, request, kGenerous)).value();
+        mThreads.Await(mClient.Open(mEndpoint, request, kTestTimeout)).value();
     CPPUNIT_ASSERT_EQUAL(200, stream->Head().mStatus);
     std::string text;
     while (true) {
-      const std::string part = mThreads.Await(stream->Read(kGenerous)).value();
+      const std::string part =
+          mThreads.Await(stream->Read(kTestTimeout)).value();
       if (part.empty()) {
         break;
       }
@@ -80,46 +83,47 @@
     }
     CPPUNIT_ASSERT_EQUAL(std::string("one two"), text);
     const HttpResponse whole =
-        mThreads.Await(mClient.Send(mWhere, request, kGenerous)).value();
+        mThreads.Await(mClient.Send(mEndpoint, request, kTestTimeout)).value();
     CPPUNIT_ASSERT_EQUAL(text, whole.mBody);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mClient.Connections());
   }
 
-  void TestCutStreamIsAnError() {
+  void TestTruncatedStreamIsAnError() {
     HttpRequest request;
     request.mTarget = "/cut";
     auto stream =
-        mThreads.Await(mClient.Open(mWhere, request, kGenerous)).value();
-    Result<std::string> part = mThreads.Await(stream->Read(kGenerous));
+        mThreads.Await(mClient.Open(mEndpoint, request, kTestTimeout)).value();
+    Result<std::string> part = mThreads.Await(stream->Read(kTestTimeout));
     std::string text;
     while (part && !part->empty()) {
       text += *part;
-      part = mThreads.Await(stream->Read(kGenerous));
+      part = mThreads.Await(stream->Read(kTestTimeout));
     }
     CPPUNIT_ASSERT_EQUAL(std::string("one two"), text);
     CPPUNIT_ASSERT(part.has_error());
     CPPUNIT_ASSERT(part.error().Kind() == ErrorKind::ConnectionLost);
     CPPUNIT_ASSERT(part.error().Run() == RunState::Run);
-    const auto whole = mThreads.Await(mClient.Send(mWhere, request, kGenerous));
+    const auto whole =
+        mThreads.Await(mClient.Send(mEndpoint, request, kTestTimeout));
     CPPUNIT_ASSERT(whole.has_error());
     CPPUNIT_ASSERT_EQUAL(size_t{0}, mClient.Connections());
   }
 
-  void TestCutBeforeTheAnswer() {
+  void TestAbortBeforeResponse() {
     HttpRequest request;
     request.mTarget = "/no-answer";
-    const auto answer =
-        mThreads.Await(mClient.Send(mWhere, request, kGenerous));
-    CPPUNIT_ASSERT(answer.has_error());
-    CPPUNIT_ASSERT(answer.error().Kind() == ErrorKind::ConnectionLost);
-    CPPUNIT_ASSERT(answer.error().Run() == RunState::Unknown);
+    const auto response =
+        mThreads.Await(mClient.Send(mEndpoint, request, kTestTimeout));
+    CPPUNIT_ASSERT(response.has_error());
+    CPPUNIT_ASSERT(response.error().Kind() == ErrorKind::ConnectionLost);
+    CPPUNIT_ASSERT(response.error().Run() == RunState::Unknown);
   }
 
  private:
   ThreadedContext mThreads;
   HttpClient mClient{mThreads.Context()};
   std::optional<HttpServer> mServer;
-  Endpoint mWhere;
+  Endpoint mEndpoint;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(HttpTest);
--- a/src/librillwall_transport/http_test_support.h
+++ b/src/librillwall_transport/http_test_support.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the HTTP tests share: running a coroutine to its end, a server on a
-/// free port, and a peer that speaks raw bytes.
+/// Support for the HTTP tests: running coroutines to completion, and clients
+/// and upstreams that exchange raw bytes.
 
 #pragma once
 
@@ -26,9 +26,9 @@
 
 namespace rillwall {
 
-constexpr Millis kGenerous{10000};
+constexpr Millis kTestTimeout{10000};
 
-/// An io_context run by threads until the end of the test.
+/// An io_context that is run by its own threads until it is destroyed.
 class ThreadedContext {
  public:
   explicit ThreadedContext(size_t aThreads = 2)
@@ -56,14 +56,14 @@
   std::vector<std::thread> mThreads;
 };
 
-/// Waits in a coroutine.
+/// Suspends the coroutine for a time span.
 inline asio::awaitable<void> Sleep(Millis aSpan) {
   asio::steady_timer timer(co_await asio::this_coro::executor);
   timer.expires_after(std::chrono::milliseconds(aSpan.Count()));
   co_await timer.async_wait(asio::use_awaitable);
 }
 
-/// Waits on the test's thread until something holds; fails after long.
+/// Blocks until aCondition holds; fails the test after 10 s.
 template <class Condition>
 void WaitFor(Condition aCondition) {
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(10);
@@ -73,7 +73,7 @@
   }
 }
 
-/// A peer that writes and reads raw bytes, blocking.
+/// A blocking client that writes and reads raw bytes.
 class RawPeer {
  public:
   explicit RawPeer(const Endpoint& aEndpoint) : mSocket(mContext) {
@@ -82,14 +82,14 @@
   void Write(std::string_view aBytes) {
     asio::write(mSocket, asio::buffer(aBytes));
   }
-  /// \return all bytes up to the peer's close
+  /// \return all bytes until the server closes the connection
   std::string ReadToEnd() {
     std::string bytes;
     boost::system::error_code code;
     asio::read(mSocket, asio::dynamic_buffer(bytes), code);
     return bytes;
   }
-  /// \return the bytes up to an empty line
+  /// \return the bytes up to and including the next empty line
   std::string ReadHead() {
     std::string bytes;
     asio::read_until(mSocket, asio::dynamic_buffer(bytes), "\r\n\r\n");
@@ -102,32 +102,33 @@
   asio::ip::tcp::socket mSocket;
 };
 
-/// An upstream that answers each connection with raw bytes after one request's
-/// head, and closes it.
+/// An upstream that reads one request head from each connection, writes raw
+/// bytes as the response and closes the connection.
 class RawUpstream {
  public:
-  /// \param aAnswers one for each connection, in order
-  explicit RawUpstream(std::vector<std::string> aAnswers)
+  /// \param aResponses the bytes to write on each connection, in order
+  explicit RawUpstream(std::vector<std::string> aResponses)
       : mAcceptor(mContext, {asio::ip::address_v4::loopback(), 0}),
-        mThread([this, answers = std::move(aAnswers)] { Serve(answers); }) {}
+        mThread(
+            [this, responses = std::move(aResponses)] { Serve(responses); }) {}
   ~RawUpstream() {
-    // Wakes a pending accept.
+    // Wakes the thread if it is blocked in accept().
     ::shutdown(mAcceptor.native_handle(), SHUT_RD);
     mThread.join();
   }
-  Endpoint Where() const {
+  Endpoint ListeningEndpoint() const {
     return {"127.0.0.1", mAcceptor.local_endpoint().port()};
   }
 
  private:
-  void Serve(const std::vector<std::string>& aAnswers) {
-    for (const std::string& answer : aAnswers) {
+  void Serve(const std::vector<std::string>& aResponses) {
+    for (const std::string& response : aResponses) {
       asio::ip::tcp::socket socket(mContext);
       boost::system::error_code code;
       mAcceptor.accept(socket, code);
       std::string head;
       asio::read_until(socket, asio::dynamic_buffer(head), "\r\n\r\n", code);
-      asio::write(socket, asio::buffer(answer), code);
+      asio::write(socket, asio::buffer(response), code);
     }
   }
 
--- a/src/librillwall_transport/kv_client_test.cpp
+++ b/src/librillwall_transport/kv_client_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The key-value client against a server that answers, drops or refuses.
+/// Tests of the key-value client with a server that responds, aborts or
+/// refuses.
 
 #include "rillwall/kv_client.h"
 
@@ -18,14 +19,15 @@
     R"({"header":{"revision":"7"},"kvs":[{"key":"YS9i","value":"dg==",)"
     R"("create_revision":"3","mod_revision":"5","version":"2"}],"count":"1"})";
 
-/// What the server does with the calls of one path.
+/// How the server handles the calls of one path.
 struct Behaviour {
   int mStatus = 200;
   std::string mBody;
-  bool mDrop = false;
-  bool mSilent = false;
+  bool mDrop = false;    ///< send head and body, then abort the connection
+  bool mSilent = false;  ///< respond only after the client's timeout
 };
 
+/// A key-value service that records calls and responds as configured.
 class FakeService {
  public:
   explicit FakeService(asio::io_context& aContext)
@@ -33,10 +35,10 @@
                 [this](const HttpRequest& aRequest, HttpExchange& aExchange) {
                   return Handle(aRequest, aExchange);
                 }) {
-    mWhere = mServer.Listen({"127.0.0.1", 0}).value();
+    mEndpoint = mServer.Listen({"127.0.0.1", 0}).value();
   }
 
-  Endpoint mWhere;
+  Endpoint mEndpoint;
   std::map<std::string, Behaviour> mPaths;
   std::vector<std::string> mCalls;  ///< path and body of each call, in order
 
@@ -54,7 +56,8 @@
       co_await aExchange.Respond(std::move(response));
       co_return;
     }
-    // The head is sent and the connection cut: the answer is lost.
+    // Without End(), the server aborts the connection, so that the response is
+    // truncated.
     co_await aExchange.Begin(std::move(response));
     std::string body = behaviour.mBody;
     co_await aExchange.Write(std::move(body));
@@ -65,27 +68,27 @@
 
 class KvClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(KvClientTest);
-  CPPUNIT_TEST(TestTexts);
+  CPPUNIT_TEST(TestEncoding);
   CPPUNIT_TEST(TestRange);
   CPPUNIT_TEST(TestSwap);
-  CPPUNIT_TEST(TestLostAnswers);
-  CPPUNIT_TEST(TestRefusals);
+  CPPUNIT_TEST(TestLostResponses);
+  CPPUNIT_TEST(TestErrorStatuses);
   CPPUNIT_TEST(TestLease);
-  CPPUNIT_TEST(TestRotation);
+  CPPUNIT_TEST(TestEndpointRotation);
   CPPUNIT_TEST(TestWatch);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override {
     mFake.emplace(mThreads.Context());
-    mKv.emplace(mClient, Settings({mFake->mWhere}));
+    mKv.emplace(mClient, Settings({mFake->mEndpoint}));
   }
   void tearDown() override {
     mKv.reset();
     mFake.reset();
   }
 
-  void TestTexts() {
+  void TestEncoding() {
     for (const std::string text : {"", "a", "ab", "abc", "ab\xff\0z"}) {
       CPPUNIT_ASSERT(text == kv::DecodeBase64(kv::EncodeBase64(text)));
     }
@@ -109,9 +112,9 @@
   void TestSwap() {
     Behaviour& txn = mFake->mPaths["/v3/kv/txn"];
     txn.mBody = R"({"header":{"revision":"9"},"succeeded":true})";
-    const KvSwap taken = Await(mKv->CompareAndSwap("k", 5, "v", 0)).value();
-    CPPUNIT_ASSERT(taken.mApplied);
-    CPPUNIT_ASSERT_EQUAL(int64_t{9}, taken.mRevision);
+    const KvSwap applied = Await(mKv->CompareAndSwap("k", 5, "v", 0)).value();
+    CPPUNIT_ASSERT(applied.mApplied);
+    CPPUNIT_ASSERT_EQUAL(int64_t{9}, applied.mRevision);
     CPPUNIT_ASSERT_EQUAL(
         std::string(
             R"(/v3/kv/txn {"compare":[{"key":"aw==","target":"MOD",)"
@@ -121,12 +124,12 @@
         mFake->mCalls.back());
     txn.mBody = std::string(R"({"header":{"revision":"9"},"responses":)") +
                 R"([{"response_range":)" + kEntry + "}]}";
-    const KvSwap lost = Await(mKv->CompareAndDelete("a/b", 4)).value();
-    CPPUNIT_ASSERT(!lost.mApplied);
-    CPPUNIT_ASSERT_EQUAL(std::string("v"), lost.mCurrent.at(0).mValue);
+    const KvSwap notApplied = Await(mKv->CompareAndDelete("a/b", 4)).value();
+    CPPUNIT_ASSERT(!notApplied.mApplied);
+    CPPUNIT_ASSERT_EQUAL(std::string("v"), notApplied.mCurrent.at(0).mValue);
   }
 
-  void TestLostAnswers() {
+  void TestLostResponses() {
     for (const bool silent : {false, true}) {
       for (const char* path : {"/v3/kv/range", "/v3/kv/put", "/v3/kv/txn"}) {
         mFake->mPaths[path] = {200, "{", !silent, silent};
@@ -140,7 +143,7 @@
     CPPUNIT_ASSERT(expected == mKv->Counts());
   }
 
-  void TestRefusals() {
+  void TestErrorStatuses() {
     Behaviour& put = mFake->mPaths["/v3/kv/put"];
     put = {503, R"({"error":{"kind":"refused"}})"};
     CPPUNIT_ASSERT(ErrorKind::KvUnavailable == PutError());
@@ -168,16 +171,16 @@
         R"(/v3/lease/grant {"TTL":"30"})",
         R"(/v3/kv/put {"key":"aw==","value":"dg==","lease":"77"})"};
     CPPUNIT_ASSERT(expected == mFake->mCalls);
-    // Nothing was written while the lease is not known.
+    // Without a lease the value is not written.
     grant.mDrop = true;
     CPPUNIT_ASSERT(ErrorKind::KvUnavailable ==
                    Await(mKv->Put("k", "v", 30)).error().Kind());
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mFake->mCalls.size());
   }
 
-  void TestRotation() {
+  void TestEndpointRotation() {
     mFake->mPaths["/v3/kv/put"].mBody = R"({"header":{"revision":"4"}})";
-    mKv.emplace(mClient, Settings({ClosedPort(), mFake->mWhere}));
+    mKv.emplace(mClient, Settings({ClosedEndpoint(), mFake->mEndpoint}));
     CPPUNIT_ASSERT(ErrorKind::KvUnavailable == PutError());
     CPPUNIT_ASSERT_EQUAL(int64_t{4}, Await(mKv->Put("k", "v", 0)).value());
   }
@@ -210,13 +213,13 @@
     settings.mTimeout = Millis(200);
     return settings;
   }
-  /// A port that nobody listens on.
-  Endpoint ClosedPort() {
+  /// \return an endpoint on which no program listens
+  Endpoint ClosedEndpoint() {
     HttpServer server(mThreads.Context(), HttpLimits(), nullptr);
-    const Endpoint where = server.Listen({"127.0.0.1", 0}).value();
+    const Endpoint endpoint = server.Listen({"127.0.0.1", 0}).value();
     server.Stop();
     Await(Sleep(Millis(50)));
-    return where;
+    return endpoint;
   }
   template <class Value>
   Value Await(asio::awaitable<Value> aWork) {
--- a/src/librillwall_transport/peer_test.cpp
+++ b/src/librillwall_transport/peer_test.cpp
@@ -25,32 +25,32 @@
 
 using Reply = Result<wire::PeerReply>;
 
-constexpr std::chrono::seconds kLongest{30};
-constexpr Millis kPlenty{20000};
+constexpr std::chrono::seconds kMaxWait{30};
+constexpr Millis kCallTimeout{20000};
 const Endpoint kAnyPort{"127.0.0.1", 0};
 
-wire::PeerRequest Asking(std::string aFrom) {
+wire::PeerRequest MakeRequest(std::string aFrom) {
   wire::PeerRequest out;
   out.set_from(std::move(aFrom));
   out.mutable_ask_policy();
   return out;
 }
 
-/// Answers with the caller's name as the policy's body.
+/// Replies with the caller's name as the policy's body.
 asio::awaitable<Reply> Echo(wire::PeerRequest aRequest) {
   wire::PeerReply out;
   out.mutable_policy()->set_body(aRequest.from());
   co_return out;
 }
 
-asio::awaitable<Reply> NeverAnswer(wire::PeerRequest) {
+asio::awaitable<Reply> NeverReply(wire::PeerRequest) {
   asio::steady_timer timer(co_await asio::this_coro::executor);
   timer.expires_at(asio::steady_timer::time_point::max());
   co_await timer.async_wait(asio::use_awaitable);
   co_return wire::PeerReply();
 }
 
-std::string BodyOf(const Reply& aReply) {
+std::string PolicyBodyOf(const Reply& aReply) {
   CPPUNIT_ASSERT_MESSAGE(aReply ? "" : aReply.error().Message(), aReply);
   return aReply->policy().body();
 }
@@ -58,28 +58,28 @@
 class PeerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerTest);
   CPPUNIT_TEST(TestReply);
-  CPPUNIT_TEST(TestErrorsTravel);
+  CPPUNIT_TEST(TestErrorIsReturnedToCaller);
   CPPUNIT_TEST(TestThrowingHandler);
   CPPUNIT_TEST(TestLargeMessages);
   CPPUNIT_TEST(TestDeadline);
   CPPUNIT_TEST(TestCancelledCall);
-  CPPUNIT_TEST(TestNobodyThere);
+  CPPUNIT_TEST(TestNoServer);
   CPPUNIT_TEST(TestRestartedPeer);
-  CPPUNIT_TEST(TestPortTaken);
+  CPPUNIT_TEST(TestPortInUse);
   CPPUNIT_TEST(TestServerStopsWithCallInFlight);
-  CPPUNIT_TEST(TestClientEndsWithCallInFlight);
-  CPPUNIT_TEST(TestClientGoneBeforeAnswer);
-  CPPUNIT_TEST(TestRetain);
+  CPPUNIT_TEST(TestClientDestroyedWithCallInFlight);
+  CPPUNIT_TEST(TestClientDestroyedBeforeReply);
+  CPPUNIT_TEST(TestCallsAfterRetain);
   CPPUNIT_TEST(TestManyCallsOnThreads);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void TestReply() {
     Serve(Echo);
-    CPPUNIT_ASSERT_EQUAL(std::string("n1"), BodyOf(Call("n1")));
+    CPPUNIT_ASSERT_EQUAL(std::string("n1"), PolicyBodyOf(Call("n1")));
   }
 
-  void TestErrorsTravel() {
+  void TestErrorIsReturnedToCaller() {
     Serve([](wire::PeerRequest) -> asio::awaitable<Reply> {
       co_return Error(ErrorKind::Stale, "older");
     });
@@ -97,37 +97,38 @@
   void TestLargeMessages() {
     Serve(Echo);
     const std::string large(20 * 1024 * 1024, 'x');
-    CPPUNIT_ASSERT(large == BodyOf(Call(large)));
+    CPPUNIT_ASSERT(large == PolicyBodyOf(Call(large)));
     const std::string tooLarge(65 * 1024 * 1024, 'x');
     CPPUNIT_ASSERT(ErrorKind::TooLarge == Call(tooLarge).error().Kind());
   }
 
   void TestDeadline() {
-    Serve(NeverAnswer);
+    Serve(NeverReply);
     const Reply reply = Call("n1", Millis(50));
     CPPUNIT_ASSERT(ErrorKind::Timeout == reply.error().Kind());
     CPPUNIT_ASSERT(RunState::Unknown == reply.error().Run());
   }
 
   void TestCancelledCall() {
-    Serve(NeverAnswer);
+    Serve(NeverReply);
     asio::cancellation_signal cancel;
     std::optional<Reply> reply;
-    asio::co_spawn(mContext,
-                   mClient->Call(mEndpoint.Text(), Asking("n1"), kPlenty),
-                   asio::bind_cancellation_slot(
-                       cancel.slot(), [&](std::exception_ptr, Reply aReply) {
-                         reply = std::move(aReply);
-                         mContext.stop();
-                       }));
+    asio::co_spawn(
+        mContext,
+        mClient->Call(mEndpoint.Text(), MakeRequest("n1"), kCallTimeout),
+        asio::bind_cancellation_slot(cancel.slot(),
+                                     [&](std::exception_ptr, Reply aReply) {
+                                       reply = std::move(aReply);
+                                       mContext.stop();
+                                     }));
     asio::post(mContext,
                [&] { cancel.emit(asio::cancellation_type::terminal); });
-    mContext.run_for(kLongest);
+    mContext.run_for(kMaxWait);
     CPPUNIT_ASSERT(reply);
     CPPUNIT_ASSERT(ErrorKind::ConnectionLost == reply->error().Kind());
   }
 
-  void TestNobodyThere() {
+  void TestNoServer() {
     Serve(Echo);
     mServer.reset();
     CPPUNIT_ASSERT(ErrorKind::ConnectionLost == Call("n1").error().Kind());
@@ -140,7 +141,7 @@
     mServer.reset();
     CPPUNIT_ASSERT(!Call("n1"));
     Serve(Echo, same);
-    const auto deadline = std::chrono::steady_clock::now() + kLongest;
+    const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
     Reply reply = Call("n1");
     while (!reply && std::chrono::steady_clock::now() < deadline) {
       reply = Call("n1");
@@ -148,7 +149,7 @@
     CPPUNIT_ASSERT(reply);
   }
 
-  void TestPortTaken() {
+  void TestPortInUse() {
     Serve(Echo);
     PeerServer second(mContext, Echo);
     CPPUNIT_ASSERT(ErrorKind::Unavailable ==
@@ -163,29 +164,29 @@
     CPPUNIT_ASSERT(ErrorKind::ConnectionLost == Call("n1").error().Kind());
   }
 
-  void TestClientEndsWithCallInFlight() {
+  void TestClientDestroyedWithCallInFlight() {
     Serve([&](wire::PeerRequest aRequest) {
       mClient.reset();
-      return NeverAnswer(std::move(aRequest));
+      return NeverReply(std::move(aRequest));
     });
     CPPUNIT_ASSERT(ErrorKind::ConnectionLost == Call("n1").error().Kind());
   }
 
-  void TestClientGoneBeforeAnswer() {
-    bool answered = false;
+  void TestClientDestroyedBeforeReply() {
+    bool handlerRan = false;
     Serve([&](wire::PeerRequest aRequest) -> asio::awaitable<Reply> {
       mClient.reset();
-      answered = true;
+      handlerRan = true;
       co_return co_await Echo(std::move(aRequest));
     });
     CPPUNIT_ASSERT(!Call("n1"));
-    CPPUNIT_ASSERT(answered);
+    CPPUNIT_ASSERT(handlerRan);
     mClient.emplace(mContext);
     Serve(Echo);
     CPPUNIT_ASSERT(Call("n2"));
   }
 
-  void TestRetain() {
+  void TestCallsAfterRetain() {
     Serve(Echo);
     CPPUNIT_ASSERT(Call("n1"));
     mClient->Retain({});
@@ -197,16 +198,16 @@
   void TestManyCallsOnThreads() {
     constexpr int kCalls = 200;
     Serve(Echo);
-    std::atomic<int> whole{0};
+    std::atomic<int> correct{0};
     for (int i = 0; i < kCalls; ++i) {
-      Spawn(std::to_string(i), kPlenty, [&, i](Reply aReply) {
-        whole += aReply && aReply->policy().body() == std::to_string(i);
+      Spawn(std::to_string(i), kCallTimeout, [&, i](Reply aReply) {
+        correct += aReply && aReply->policy().body() == std::to_string(i);
       });
     }
-    std::thread other([this] { mContext.run_for(kLongest); });
-    mContext.run_for(kLongest);
+    std::thread other([this] { mContext.run_for(kMaxWait); });
+    mContext.run_for(kMaxWait);
     other.join();
-    CPPUNIT_ASSERT_EQUAL(kCalls, whole.load());
+    CPPUNIT_ASSERT_EQUAL(kCalls, correct.load());
   }
 
   void setUp() override { mClient.emplace(mContext); }
@@ -228,21 +229,21 @@
   void Spawn(const std::string& aFrom, Millis aTimeout,
              std::function<void(Reply)> aDone) {
     asio::co_spawn(
-        mContext, mClient->Call(mEndpoint.Text(), Asking(aFrom), aTimeout),
+        mContext, mClient->Call(mEndpoint.Text(), MakeRequest(aFrom), aTimeout),
         [done = std::move(aDone)](std::exception_ptr aThrown, Reply aReply) {
           CPPUNIT_ASSERT(!aThrown);
           done(std::move(aReply));
         });
   }
 
-  Reply Call(const std::string& aFrom, Millis aTimeout = kPlenty) {
+  Reply Call(const std::string& aFrom, Millis aTimeout = kCallTimeout) {
     std::optional<Reply> reply;
     Spawn(aFrom, aTimeout, [&](Reply aReply) {
       reply = std::move(aReply);
       mContext.stop();
     });
     mContext.restart();
-    mContext.run_for(kLongest);
+    mContext.run_for(kMaxWait);
     CPPUNIT_ASSERT(reply);
     return *reply;
   }
--- a/src/librillwall_transport/tls_test_support.h
+++ b/src/librillwall_transport/tls_test_support.h
@@ -1,5 +1,5 @@
 /// \file
-/// Authorities, certificates and keys that tests of TLS make for themselves.
+/// Support for the TLS tests: generates authorities, certificates and keys.
 
 #pragma once
 
@@ -32,8 +32,11 @@
   X509_EXTENSION_free(extension);
 }
 
-/// \param aAddress the alternative name, such as "IP:127.0.0.1"
-/// \param aIssuer nullptr: the certificate is an authority's own
+/// Generates a key and a certificate that is valid for an hour.
+/// \param aName common name of the subject
+/// \param aAddress subject alternative name, such as "IP:127.0.0.1"
+/// \param aIssuer signs the certificate; nullptr: the certificate is a
+/// self-signed authority
 inline TestIdentity MakeTestIdentity(const char* aName, const char* aAddress,
                                      const TestIdentity* aIssuer) {
   constexpr long kHour = 3600;
@@ -62,7 +65,7 @@
   return made;
 }
 
-/// A folder of PEM files that is removed at the end.
+/// A temporary folder of PEM files, removed on destruction.
 class TestKeyFolder {
  public:
   TestKeyFolder() {
