--- a/scripts/cases.sh
+++ b/scripts/cases.sh
@@ -1,11 +1,11 @@
-# Shared shell functions of the cases under testsuite/: counting checks.
+# Shell functions for the test cases under testsuite/, which count checks.
 # Source it after lib.sh. shellcheck shell=bash
 
 CASE_NAME=$(basename "$(cd "$(dirname "$0")" && pwd)")
 CASE_PASSED=0
 CASE_FAILED=0
 
-# check WHAT COMMAND...: counts whether a command succeeds.
+# check WHAT COMMAND...: runs one check, which passes if the command succeeds.
 check() {
   local what=$1
   shift
@@ -17,20 +17,21 @@
   fi
 }
 
-# equal WANTED FOUND
+# equal EXPECTED ACTUAL
 equal() {
   [[ $1 == "$2" ]] && return
-  echo "  wanted '$1', found '$2'"
+  echo "  expected '$1', got '$2'"
   return 1
 }
 
-# ends the case with its counts
+# Prints the counts of the case; fails if a check failed.
 case_end() {
   echo "$CASE_NAME: $CASE_PASSED passed, $CASE_FAILED failed"
   [[ $CASE_FAILED -eq 0 ]]
 }
 
-# Starts the platform with engines and nodes: case_fleet ENGINES NODES ZONES...
+# case_fleet ENGINES NODES ZONES...: builds, then starts the stand-ins of the
+# platform, engines and nodes, and waits until the nodes have joined.
 case_fleet() {
   local engines=$1 nodes=$2 node
   shift 2
@@ -40,10 +41,10 @@
   rw_plan_nodes "$nodes" "$@"
   for node in "${RW_NODES[@]}"; do rw_node "$node"; done
   for node in "${RW_NODES[@]}"; do rw_wait_ready "$node"; done
-  rw_until 30 case_joined "$nodes" || rw_fail "the nodes do not know each other"
+  rw_until 30 case_joined "$nodes" || rw_fail "the nodes did not join each other"
 }
 
-# Whether every node sees all others as live.
+# case_joined COUNT: whether every node sees COUNT live members.
 case_joined() {
   local node
   for node in "${RW_NODES[@]}"; do
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,6 +1,6 @@
-# Shared shell functions of the demo, the benches and the long runs: build,
-# free ports, processes by pid, the stand-ins' platform and rillwall's nodes.
-# Source it; then call rw_begin. Everything runs on loopback only.
+# Shell functions of the demo, the benchmarks, the soak and the test cases: build,
+# free ports, processes, the stand-ins of the platform and the rillwall nodes.
+# Source it, then call rw_begin. Everything runs on loopback only.
 # shellcheck shell=bash
 
 set -u
@@ -10,17 +10,17 @@
 RW_BIN=$RW_BUILD/src/rillwall/rillwall
 RW_STANDIN=$RW_BUILD/src/standin/rillwall_standin
 
-# Seconds that a process has to get ready and to stop by itself.
+# Timeouts in seconds for a process to become ready and to stop by itself.
 RW_READY_SECONDS=${RW_READY_SECONDS:-30}
 RW_STOP_SECONDS=${RW_STOP_SECONDS:-15}
 
 declare -A RW_PID=()      # pid by process name
 declare -A RW_ADDRESS=()  # ip:port by process name
 declare -A RW_ZONE=()     # availability zone by node name
-RW_NODES=()               # names of nodes, in order of their start
+RW_NODES=()               # names of nodes, in start order
 RW_ENGINES=()             # names of engines
-RW_SEEDS=""               # gossip addresses of the nodes
-RW_WORK=""                # folder of logs and results
+RW_SEEDS=""               # gossip addresses of the nodes, comma-separated
+RW_WORK=""                # folder for logs and results
 
 rw_say() { printf '%s  %s\n' "$(date +%H:%M:%S)" "$*"; }
 
@@ -29,7 +29,7 @@
   exit 1
 }
 
-# Makes the work folder and sees to it that nothing is left behind.
+# Creates the work folder and installs the handlers that clean up at exit.
 rw_begin() {
   RW_WORK=$(mktemp -d "${TMPDIR:-/tmp}/rillwall.XXXXXX")
   mkdir -p "$RW_WORK/logs"
@@ -37,7 +37,8 @@
   trap 'exit 130' INT TERM
 }
 
-# Stops all processes; keeps the work folder only if RILLWALL_KEEP is set.
+# Stops all processes and removes the work folder unless RILLWALL_KEEP is set.
+# Shows the logs if the script failed.
 rw_end() {
   local status=$?
   trap - EXIT
@@ -53,7 +54,7 @@
   exit "$status"
 }
 
-# The last lines of each log that has an error in it.
+# Prints the last lines of each log that contains an error.
 rw_show_logs() {
   local log
   for log in "$RW_WORK"/logs/*.log; do
@@ -65,18 +66,19 @@
   done
 }
 
-# Installs packages and builds the binary and the stand-ins.
+# Installs packages and builds the binary and the stand-ins, unless
+# RILLWALL_SKIP_BUILD is set.
 rw_build() {
   if [[ -z ${RILLWALL_SKIP_BUILD:-} ]]; then
     "$RW_ROOT/scripts/packages" || rw_fail "packages are missing"
     RILLWALL_BUILD=$RW_BUILD "$RW_ROOT/scripts/build" rillwall rillwall_standin ||
       rw_fail "the build failed"
   fi
-  [[ -x $RW_BIN && -x $RW_STANDIN ]] || rw_fail "no binaries in $RW_BUILD"
+  [[ -x $RW_BIN && -x $RW_STANDIN ]] || rw_fail "no binaries in $RW_BUILD; build them with scripts/build"
 }
 
-# Prints free ports, not in use by TCP or UDP, below the ephemeral range.
-# Ports handed out once are not handed out again.
+# rw_free_ports ARRAY COUNT: stores ports in ARRAY that are unused by TCP and UDP
+# and below the ephemeral range. No port is returned twice.
 RW_NEXT_PORT=$((20000 + RANDOM % 8000))
 rw_free_ports() {
   local -n result=$1
@@ -91,7 +93,7 @@
   done
 }
 
-# Starts a process under a name. Its output goes to logs/NAME.log.
+# Starts a process under a name. Its output is appended to logs/NAME.log.
 # rw_start NAME COMMAND...
 rw_start() {
   local name=$1
@@ -102,7 +104,7 @@
 
 rw_alive() { [[ -n ${RW_PID[$1]:-} ]] && kill -0 "${RW_PID[$1]}" 2>/dev/null; }
 
-# Waits for a process to end by itself; returns its status, 124 if it does not.
+# Waits for a process to end by itself; returns its status, or 124 on timeout.
 # rw_wait_end NAME SECONDS
 rw_wait_end() {
   local name=$1 end=$((SECONDS + $2)) status
@@ -117,7 +119,7 @@
   return "$status"
 }
 
-# Sends a signal (TERM by default) and waits; kills what does not stop.
+# Sends a signal (TERM by default) and waits; kills the process on timeout.
 # rw_stop NAME [SIGNAL]
 rw_stop() {
   local name=$1 signal=${2:-TERM}
@@ -129,12 +131,12 @@
   return 0
 }
 
-# Stops everything that was started, all at once, each by its pid.
+# Stops all started processes in parallel, each by its pid.
 rw_stop_all() {
   local name
   for name in "${!RW_PID[@]}"; do
     kill -s TERM "${RW_PID[$name]}" 2>/dev/null
-    # A stopped process (SIGSTOP) takes no TERM until it goes on.
+    # A process stopped by SIGSTOP handles SIGTERM only after SIGCONT.
     kill -s CONT "${RW_PID[$name]}" 2>/dev/null
   done
   for name in "${!RW_PID[@]}"; do
@@ -142,7 +144,8 @@
   done
 }
 
-# Repeats a command until it succeeds. rw_until SECONDS COMMAND...
+# Retries a command until it succeeds or the time is over.
+# rw_until SECONDS COMMAND...
 rw_until() {
   local end=$((SECONDS + $1))
   shift
@@ -157,23 +160,24 @@
 rw_put() { curl -sS -m 30 -X PUT "http://$1" -d "${2:-}"; }
 rw_ok() { curl -sS -f -m 5 -o /dev/null "http://$1"; }
 
-# Starts a stand-in on a free port and waits until it accepts.
-# rw_standin NAME VERB [OPTIONS]
+# Starts a stand-in, at its earlier address if it had one, and waits until it
+# accepts connections.
+# rw_standin NAME SUBCOMMAND [OPTIONS]
 rw_standin() {
-  local name=$1 verb=$2
+  local name=$1 subcommand=$2
   shift 2
   local address=${RW_ADDRESS[$name]:-127.0.0.1:0}
   : >"$RW_WORK/logs/$name.log"
-  rw_start "$name" "$RW_STANDIN" "$verb" --listen "$address" "$@"
+  rw_start "$name" "$RW_STANDIN" "$subcommand" --listen "$address" "$@"
   rw_until "$RW_READY_SECONDS" grep -q '^listening' "$RW_WORK/logs/$name.log" ||
-    rw_fail "$name does not accept: $(tail -n 3 "$RW_WORK/logs/$name.log")"
+    rw_fail "$name does not accept connections: $(tail -n 3 "$RW_WORK/logs/$name.log")"
   RW_ADDRESS[$name]=$(awk '/^listening/ { print $2; exit }' "$RW_WORK/logs/$name.log")
 }
 
-# Sets faults of a stand-in. rw_fault NAME '{"freeze_ms":1000}'
+# Injects faults into a stand-in. rw_fault NAME '{"freeze_ms":1000}'
 rw_fault() { rw_post "${RW_ADDRESS[$1]}/control" "$2" >/dev/null; }
 
-# One entry of the host list.
+# Prints an entry of the host list.
 # rw_host NAME KIND SERVED ZONE [GENERATION]
 rw_host() {
   jq -cn --arg id "$1" --arg kind "$2" --arg name "$3" --arg zone "$4" \
@@ -181,8 +185,8 @@
     '{$id,$kind,$name,$address,$zone,$generation,leaving:false}'
 }
 
-# Starts key-value service, host list, weight store, scorer, plain service and
-# engines, and lists them as hosts.
+# Starts the stand-ins: key-value service, host list, weight store, scorer,
+# service and engines, and puts them into the host list.
 # rw_platform ENGINES ZONES... ; RW_ENGINE_OPTIONS holds further engine options
 RW_ENGINE_OPTIONS=()
 rw_platform() {
@@ -209,7 +213,8 @@
     "$(printf '%s\n' "${hosts[@]}" | jq -cs '{hosts:.}')" >/dev/null
 }
 
-# Chooses ports for nodes, so that all know their seeds before any starts.
+# Chooses the ports of the nodes before any node starts, so that each gets the
+# gossip addresses of all as seeds.
 # rw_plan_nodes COUNT ZONES...
 rw_plan_nodes() {
   local count=$1 index name ports
@@ -227,7 +232,7 @@
   done
 }
 
-# Starts a planned node, also again after it ended.
+# Starts or restarts a planned node.
 # rw_node NAME [OPTIONS]
 rw_node() {
   local name=$1
@@ -243,7 +248,7 @@
     rw_fail "$1 is not ready: $(tail -n 3 "$RW_WORK/logs/$1.log")"
 }
 
-# Whether each of the nodes named knows as many live members.
+# Whether each of the nodes sees COUNT live members.
 # rw_joined COUNT NODES...
 rw_joined() {
   local count=$1 name alive
@@ -255,7 +260,7 @@
   done
 }
 
-# Prints the addresses of names, comma-separated.
+# Prints the addresses of processes by name, comma-separated.
 rw_addresses() {
   local name list=""
   for name in "$@"; do
@@ -269,10 +274,11 @@
   "$RW_BIN" policy put "$2" "$3" --node "${RW_ADDRESS[$1]}"
 }
 
-# The revision of the policies in force at a node.
+# Prints the revision of the policies in force at a node.
 rw_revision() { rw_get "${RW_ADDRESS[$1]}/admin/policies" | jq -r .revision; }
 
-# Whether the nodes named have all reached a revision. rw_in_force REVISION NODES...
+# Whether all of the nodes have reached a revision.
+# rw_in_force REVISION NODES...
 rw_in_force() {
   local revision=$1 name
   shift
--- a/src/cmake/CompilerSettings.cmake
+++ b/src/cmake/CompilerSettings.cmake
@@ -1,4 +1,4 @@
-# Compiler settings for every target: C++20, warnings as errors, optional sanitizers.
+# Compiler settings for every target: C++20, warnings, optional sanitizers.
 set(CMAKE_CXX_STANDARD 20)
 set(CMAKE_CXX_STANDARD_REQUIRED ON)
 set(CMAKE_CXX_EXTENSIONS OFF)
--- a/src/cmake/Dependencies.cmake
+++ b/src/cmake/Dependencies.cmake
@@ -1,4 +1,4 @@
-# Libraries, all from the distribution's packages (scripts/packages names them).
+# Libraries, all from packages of the distribution (see scripts/packages).
 find_package(Threads REQUIRED)
 find_package(OpenSSL REQUIRED)
 find_package(Protobuf REQUIRED)
--- a/src/cmake/RillwallLibrary.cmake
+++ b/src/cmake/RillwallLibrary.cmake
@@ -1,5 +1,5 @@
-# rillwall_library(NAME LINK ...): one library of the folder's sources and its
-# one test program NAME_test of the folder's *_test.cpp files.
+# rillwall_library(NAME LINK ...): adds a static library with the sources of the
+# folder, and a test program NAME_test with its *_test.cpp files.
 function(rillwall_library name)
   cmake_parse_arguments(ARG "" "" "LINK" ${ARGN})
   file(GLOB_RECURSE sources CONFIGURE_DEPENDS *.cpp *.cc)
@@ -13,7 +13,7 @@
   if(tests AND RILLWALL_DEVELOPMENT)
     add_executable(${name}_test ${tests} ${CMAKE_SOURCE_DIR}/src/cmake/test_main.cpp)
     target_include_directories(${name}_test PRIVATE ${CMAKE_CURRENT_SOURCE_DIR})
-    # Tests read examples of docs/ and testsuite/ by this path.
+    # Path at which tests find example files in docs/ and testsuite/.
     target_compile_definitions(${name}_test PRIVATE RILLWALL_SOURCE_DIR="${CMAKE_SOURCE_DIR}")
     target_link_libraries(${name}_test ${name} PkgConfig::CPPUNIT rapidcheck)
     add_test(NAME ${name} COMMAND ${name}_test)
--- a/src/cmake/test_main.cpp
+++ b/src/cmake/test_main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Entry of every test program: runs the tests registered with CppUnit and
-/// prints one line "NAME: N passed, N failed" for scripts/test to add up.
+/// Entry point of every test program: runs the tests registered with CppUnit
+/// and prints a line "tests: N passed, N failed", which scripts/test sums up.
 
 #include <cppunit/BriefTestProgressListener.h>
 #include <cppunit/CompilerOutputter.h>
@@ -13,9 +13,9 @@
 #include <iostream>
 
 int main(int aCount, char** aArgs) {
-  // Property tests play the same cases each time, so that a run has one
-  // verdict. Others are played by setting the variable, as "seed=7
-  // max_success=10000".
+  // A fixed seed gives property tests the same cases in each run, so that the
+  // result is reproducible. Set the variable for other cases, for example to
+  // "seed=7 max_success=10000".
   setenv("RC_PARAMS", "seed=1", 0);
   CppUnit::TestResult controller;
   CppUnit::TestResultCollector collector;
--- a/src/standin/callers.cpp
+++ b/src/standin/callers.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The callers verb.
+/// The callers subcommand.
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -7,14 +7,14 @@
 #include <iostream>
 
 #include "callers_run.h"
+#include "commands.h"
 #include "control_serve.h"
-#include "verbs.h"
 
 namespace rillwall::standin {
 
 namespace {
 
-constexpr Millis kPatience{10000};
+constexpr Millis kRetryTimeout{10000};
 
 void RunCallers(const CallersOptions& aOptions) {
   auto inputs = ReadInputs(aOptions.mInputs);
@@ -27,7 +27,7 @@
   asio::io_context context(1);
   HttpClient client(context);
   NodeSet nodes(client, std::move(endpoints.value()), aOptions.mToken,
-                kPatience, aOptions.mSeed);
+                kRetryTimeout, aOptions.mSeed);
   CallersRun run(context, aOptions, std::move(inputs.value()), nodes, client);
   bool ended = false;
   asio::co_spawn(
@@ -39,7 +39,7 @@
       asio::detached);
   while (!ended && context.run_one() > 0) {
   }
-  const json::object result = CallersResult(run.Figures());
+  const json::object result = CallersResult(run.Stats());
   const std::string text = json::serialize(result);
   std::cout << text << std::endl;
   if (!aOptions.mOut.empty()) {
@@ -50,39 +50,49 @@
   }
 }
 
-void AddLoadOptions(CLI::App& aVerb, CallersOptions& aOptions) {
-  aVerb.add_option("--seconds", aOptions.mSeconds, "How long calls are begun");
-  aVerb.add_option("--rate", aOptions.mRate, "Streams per second");
-  aVerb.add_option("--read-rate", aOptions.mReadRate, "Reads per second");
-  aVerb.add_option("--charge-rate", aOptions.mChargeRate, "Charges per second");
-  aVerb.add_option("--max-tokens", aOptions.mMaxTokens, "Of an answer");
-  aVerb.add_option("--longest", aOptions.mLongest,
-                   "Prompts with longer answers are left out");
-  aVerb.add_option("--seed", aOptions.mSeed, "Seed of choices and keys");
+void AddLoadOptions(CLI::App& aCommand, CallersOptions& aOptions) {
+  aCommand.add_option("--seconds", aOptions.mSeconds,
+                      "Duration in which calls are started, in seconds");
+  aCommand.add_option("--rate", aOptions.mRate, "Streams per second");
+  aCommand.add_option("--read-rate", aOptions.mReadRate, "Reads per second");
+  aCommand.add_option("--charge-rate", aOptions.mChargeRate,
+                      "Charges per second");
+  aCommand.add_option("--max-tokens", aOptions.mMaxTokens,
+                      "Maximum tokens of an answer");
+  aCommand.add_option("--longest", aOptions.mMaxAnswerTokens,
+                      "Skip prompts with longer answers, in tokens");
+  aCommand.add_option("--seed", aOptions.mSeed,
+                      "Seed of random choices and of idempotency keys");
 }
 
 }  // namespace
 
-void AddCallersVerb(CLI::App& aApp) {
+void AddCallersCommand(CLI::App& aApp) {
   auto options = std::make_shared<CallersOptions>();
-  CLI::App* verb = aApp.add_subcommand("callers", "Interactive callers");
-  verb->add_option("--node", options->mNodes, "ip:port of nodes")
+  CLI::App* command =
+      aApp.add_subcommand("callers", "Load generator of interactive callers");
+  command->add_option("--node", options->mNodes, "ip:port of nodes")
       ->delimiter(',')
       ->required();
-  verb->add_option("--engines", options->mEngines,
-                   "ip:port of engines whose journals are compared")
+  command
+      ->add_option("--engines", options->mEngines,
+                   "ip:port of engines whose journals are checked")
       ->delimiter(',');
-  verb->add_option("--houses", options->mHouses, "Houses of the callers")
+  command
+      ->add_option("--houses", options->mClientAccounts,
+                   "Client accounts of the callers")
       ->delimiter(',');
-  verb->add_option("--model", options->mModel, "Model asked for");
-  verb->add_option("--service", options->mService, "Plain service's name");
-  verb->add_option("--service-address", options->mServiceAddress,
-                   "ip:port of the plain service, for its journal");
-  verb->add_option("--inputs", options->mInputs, "File of prompts")->required();
-  verb->add_option("--token", options->mToken, "Credential");
-  verb->add_option("--out", options->mOut, "File for the result");
-  AddLoadOptions(*verb, *options);
-  verb->callback([options] { RunCallers(*options); });
+  command->add_option("--model", options->mModel, "Model to request");
+  command->add_option("--service", options->mService,
+                      "Name of the service to call");
+  command->add_option("--service-address", options->mServiceAddress,
+                      "ip:port of the service, to check its journal");
+  command->add_option("--inputs", options->mInputs, "File of prompts")
+      ->required();
+  command->add_option("--token", options->mToken, "Credential");
+  command->add_option("--out", options->mOut, "File for the result");
+  AddLoadOptions(*command, *options);
+  command->callback([options] { RunCallers(*options); });
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/callers_charges.cpp
+++ b/src/standin/callers_charges.cpp
@@ -12,80 +12,79 @@
 using namespace asio::experimental::awaitable_operators;
 
 constexpr Millis kCallTimeout{10000};
-constexpr Millis kPause{100};
-constexpr int kTries = 6;
+constexpr Millis kRetryDelay{100};
+constexpr int kMaxAttempts = 6;
 constexpr int kOk = 200;
-constexpr int kFailed = 300;
+constexpr int kSuccessEnd = 300;
 constexpr int kConflict = 409;
 constexpr uint64_t kPercent = 100;
-/// Shares, in percent, of charges that are repeated after their answer, sent
-/// twice at once, and sent again with another body.
-constexpr uint64_t kRepeated = 15;
-constexpr uint64_t kTwins = 25;
-constexpr uint64_t kReused = 30;
-constexpr int64_t kAmounts = 5000;
+/// Cumulative shares, in percent, of charges that are repeated after their
+/// response, sent twice concurrently, and sent again with a different body.
+constexpr uint64_t kRepeatBelow = 15;
+constexpr uint64_t kConcurrentBelow = 25;
+constexpr uint64_t kReuseBelow = 30;
+constexpr int64_t kMaxAmount = 5000;
 
 std::string RunOf(const HttpResponse& aResponse) {
   const std::string* run = aResponse.Find("Rillwall-Run");
   return run ? *run : "unknown";
 }
 
-bool Good(const HttpResponse& aResponse) {
-  return aResponse.mStatus >= kOk && aResponse.mStatus < kFailed;
+bool IsSuccess(const HttpResponse& aResponse) {
+  return aResponse.mStatus >= kOk && aResponse.mStatus < kSuccessEnd;
 }
 
 }  // namespace
 
 ChargeCaller::ChargeCaller(HttpClient& aClient, NodeSet& aNodes,
                            std::string aService, uint64_t aSeed,
-                           ChargeFigures& aFigures)
+                           ChargeStats& aStats)
     : mClient(aClient),
       mNodes(aNodes),
       mService(std::move(aService)),
       mSeed(aSeed),
       mRandom(aSeed),
-      mFigures(aFigures) {}
+      mStats(aStats) {}
 
 ChargeCaller::Call ChargeCaller::NewCall() {
-  const std::string number = std::to_string(++mFigures.mKeys);
+  const std::string number = std::to_string(++mStats.mKeys);
   const std::string key = "charge-" + std::to_string(mSeed) + "-" + number;
   mClaims[key];
   return {key, "house-" + number,
-          1 + static_cast<int64_t>(mRandom() % kAmounts)};
+          1 + static_cast<int64_t>(mRandom() % kMaxAmount)};
 }
 
 asio::awaitable<void> ChargeCaller::Charge() {
   const Call call = NewCall();
-  const uint64_t dice = mRandom() % kPercent;
-  if (dice >= kRepeated && dice < kTwins) {
-    co_await SendTwin(call);
+  const uint64_t draw = mRandom() % kPercent;
+  if (draw >= kRepeatBelow && draw < kConcurrentBelow) {
+    co_await SendConcurrently(call);
     co_return;
   }
-  co_await Settle(call);
-  if (dice < kRepeated) {
-    co_await Settle(call);
-  } else if (dice < kReused) {
-    co_await SendOther(call);
+  co_await SendUntilFinal(call);
+  if (draw < kRepeatBelow) {
+    co_await SendUntilFinal(call);
+  } else if (draw < kReuseBelow) {
+    co_await SendDifferentBody(call);
   }
 }
 
-asio::awaitable<void> ChargeCaller::Settle(Call aCall) {
+asio::awaitable<void> ChargeCaller::SendUntilFinal(Call aCall) {
   const Millis start = Now();
-  for (int attempt = 0; attempt < kTries; ++attempt) {
-    Millis pause = kPause;
-    const Ending ending = co_await Send(aCall, mNodes.Pick(), pause);
-    if (ending == Ending::Confirmed || ending == Ending::Settled) {
-      mFigures.mTime.push_back((Now() - start).Count());
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    Millis retryDelay = kRetryDelay;
+    const SendOutcome outcome = co_await Send(aCall, mNodes.Pick(), retryDelay);
+    if (outcome == SendOutcome::Confirmed || outcome == SendOutcome::Final) {
+      mStats.mTime.push_back((Now() - start).Count());
       co_return;
     }
-    co_await Sleep(pause);
+    co_await Sleep(retryDelay);
   }
 }
 
-asio::awaitable<ChargeCaller::Ending> ChargeCaller::Send(Call aCall,
-                                                         Endpoint aNode,
-                                                         Millis& aPause) {
-  ++mFigures.mCalls;
+asio::awaitable<ChargeCaller::SendOutcome> ChargeCaller::Send(
+    Call aCall, Endpoint aNode, Millis& aRetryDelay) {
+  ++mStats.mCalls;
   json::object body;
   body["account"] = aCall.mAccount;
   body["amount"] = aCall.mAmount;
@@ -96,53 +95,54 @@
   const auto sent =
       co_await mClient.Send(aNode, std::move(request), kCallTimeout);
   if (sent.has_value()) {
-    aPause = RetryAfterOf(sent.value());
-    co_return Judge(aCall, sent.value());
+    aRetryDelay = RetryAfterOf(sent.value());
+    co_return EvaluateResponse(aCall, sent.value());
   }
   if (sent.error().Run() == RunState::NotRun) {
-    co_return Ending::NotRun;
+    co_return SendOutcome::NotRun;
   }
   mClaims[aCall.mKey].mUnknown = true;
-  co_return Ending::Unknown;
+  co_return SendOutcome::Unknown;
 }
 
-ChargeCaller::Ending ChargeCaller::Judge(const Call& aCall,
-                                         const HttpResponse& aResponse) {
+ChargeCaller::SendOutcome ChargeCaller::EvaluateResponse(
+    const Call& aCall, const HttpResponse& aResponse) {
   ChargeClaim& claim = mClaims[aCall.mKey];
-  if (Good(aResponse)) {
-    mFigures.mReplayed += aResponse.Find("Rillwall-Replayed") ? 1 : 0;
+  if (IsSuccess(aResponse)) {
+    mStats.mReplayed += aResponse.Find("Rillwall-Replayed") ? 1 : 0;
     const auto receipt = ParseObject(aResponse.mBody);
     if (!receipt.has_value() ||
         TextOf(receipt.value(), "account") != aCall.mAccount ||
         NumberOf(receipt.value(), "amount") != aCall.mAmount) {
-      ++mFigures.mCrossed;
+      ++mStats.mCrossed;
     }
     if (claim.mConfirmed && claim.mAnswer != aResponse.mBody) {
-      ++mFigures.mOtherReplay;
+      ++mStats.mOtherReplay;
     }
     claim.mConfirmed = true;
     claim.mAnswer = aResponse.mBody;
-    return Ending::Confirmed;
+    return SendOutcome::Confirmed;
   }
   const std::string run = RunOf(aResponse);
   if (run == "not-run") {
-    return Ending::NotRun;
+    return SendOutcome::NotRun;
   }
   claim.mUnknown = true;
-  return aResponse.mStatus == kConflict || run == "run" ? Ending::Settled
-                                                        : Ending::Unknown;
+  return aResponse.mStatus == kConflict || run == "run" ? SendOutcome::Final
+                                                        : SendOutcome::Unknown;
 }
 
-asio::awaitable<void> ChargeCaller::SendTwin(Call aCall) {
-  // Both at once through two nodes; then the outcome is asked for.
-  Millis left = kPause;
-  Millis right = kPause;
-  co_await (Send(aCall, mNodes.Pick(), left) &&
-            Send(aCall, mNodes.Pick(), right));
-  co_await Settle(aCall);
+asio::awaitable<void> ChargeCaller::SendConcurrently(Call aCall) {
+  // The two concurrent calls may both return an unknown outcome, so a further
+  // call asks for the final one.
+  Millis firstDelay = kRetryDelay;
+  Millis secondDelay = kRetryDelay;
+  co_await (Send(aCall, mNodes.Pick(), firstDelay) &&
+            Send(aCall, mNodes.Pick(), secondDelay));
+  co_await SendUntilFinal(aCall);
 }
 
-asio::awaitable<void> ChargeCaller::SendOther(Call aCall) {
+asio::awaitable<void> ChargeCaller::SendDifferentBody(Call aCall) {
   if (!mClaims[aCall.mKey].mConfirmed) {
     co_return;
   }
@@ -153,11 +153,11 @@
       "POST", "/services/" + mService + "/charges", json::serialize(body));
   request.mHeaders.push_back({"Idempotency-Key", aCall.mKey});
   mNodes.Authorize(request);
-  ++mFigures.mCalls;
+  ++mStats.mCalls;
   const auto sent =
       co_await mClient.Send(mNodes.Pick(), std::move(request), kCallTimeout);
-  if (sent.has_value() && Good(sent.value())) {
-    ++mFigures.mWrongReuse;
+  if (sent.has_value() && IsSuccess(sent.value())) {
+    ++mStats.mWrongReuse;
   }
 }
 
@@ -173,7 +173,7 @@
   if (!runs || !runs->is_array()) {
     co_return;
   }
-  mFigures.mJournalRead = true;
+  mStats.mJournalRead = true;
   std::map<std::string, uint64_t> counts;
   for (const json::value& run : runs->get_array()) {
     ++counts[TextOf(run.as_object(), "key")];
@@ -185,15 +185,15 @@
   for (const auto& [key, claim] : mClaims) {
     const auto found = aRuns.find(key);
     const uint64_t runs = found == aRuns.end() ? 0 : found->second;
-    mFigures.mTwice += runs > 1 ? 1 : 0;
+    mStats.mTwice += runs > 1 ? 1 : 0;
     if (claim.mConfirmed) {
-      ++mFigures.mRun;
-      mFigures.mLost += runs == 0 ? 1 : 0;
+      ++mStats.mRun;
+      mStats.mLost += runs == 0 ? 1 : 0;
     } else if (claim.mUnknown) {
-      ++mFigures.mUnknown;
+      ++mStats.mUnknown;
     } else {
-      ++mFigures.mNotRun;
-      mFigures.mRanNotRun += runs > 0 ? 1 : 0;
+      ++mStats.mNotRun;
+      mStats.mRanNotRun += runs > 0 ? 1 : 0;
     }
   }
 }
--- a/src/standin/callers_run.cpp
+++ b/src/standin/callers_run.cpp
@@ -18,13 +18,13 @@
 constexpr Millis kOpenTimeout{20000};
 constexpr Millis kChunkTimeout{20000};
 constexpr Millis kReadTimeout{10000};
-constexpr Millis kLastWait{60000};
-constexpr Millis kPoll{20};
+constexpr Millis kDrainTimeout{60000};
+constexpr Millis kPollInterval{20};
 constexpr int kOk = 200;
-constexpr int kMoves = 5;
+constexpr int kMaxNodeAttempts = 5;
 constexpr double kMillisPerSecond = 1000.0;
 
-/// One event of a streamed answer.
+/// An event of a streamed completion.
 struct CallerChunk {
   std::string mText;
   std::string mFinish;
@@ -44,8 +44,9 @@
   return chunk;
 }
 
-/// Whether the text so far is the beginning of the prompt's own answer.
-bool IsOwn(const std::string& aPrompt, const std::string& aText) {
+/// \return whether the text received is the beginning of an answer to the
+/// prompt
+bool IsOwnAnswer(const std::string& aPrompt, const std::string& aText) {
   return aText.empty() || IsAnswerTo(aPrompt, aText);
 }
 
@@ -62,18 +63,19 @@
       mClient(aClient),
       mRandom(aOptions.mSeed),
       mCharges(aClient, aNodes, aOptions.mService, aOptions.mSeed,
-               mFigures.mCharges) {
+               mStats.mCharges) {
   std::erase_if(mInputs, [&](const InputLine& aLine) {
-    return aLine.mTokens > aOptions.mLongest;
+    return aLine.mTokens > aOptions.mMaxAnswerTokens;
   });
 }
 
 asio::awaitable<void> CallersRun::Run() {
   mEnd = Now() +
          Millis(static_cast<int64_t>(mOptions.mSeconds * kMillisPerSecond));
-  const auto start = [this](double aRate, Maker aMaker) {
+  const auto start = [this](double aRate, CallFunction aCall) {
     if (aRate > 0) {
-      asio::co_spawn(mContext, Pace(aRate, std::move(aMaker)), asio::detached);
+      asio::co_spawn(mContext, StartAtRate(aRate, std::move(aCall)),
+                     asio::detached);
     }
   };
   if (!mInputs.empty()) {
@@ -81,10 +83,10 @@
   }
   start(mOptions.mReadRate, [this] { return Read(); });
   start(mOptions.mChargeRate, [this] { return mCharges.Charge(); });
-  while (Now() < mEnd || (mOpen > 0 && Now() < mEnd + kLastWait)) {
-    co_await Sleep(kPoll);
+  while (Now() < mEnd || (mOpenCalls > 0 && Now() < mEnd + kDrainTimeout)) {
+    co_await Sleep(kPollInterval);
   }
-  mFigures.mUnfinished = mOpen;
+  mStats.mUnfinished = mOpenCalls;
   const auto service = Endpoint::Parse(mOptions.mServiceAddress);
   if (service.has_value()) {
     co_await mCharges.CompareWithJournal(service.value());
@@ -92,7 +94,8 @@
   co_await CompareWithEngines();
 }
 
-asio::awaitable<void> CallersRun::Pace(double aRate, Maker aMaker) {
+asio::awaitable<void> CallersRun::StartAtRate(double aRate,
+                                              CallFunction aCall) {
   std::exponential_distribution<double> gap(aRate / kMillisPerSecond);
   double next = static_cast<double>(Now().Count());
   while (true) {
@@ -104,14 +107,14 @@
     if (at > Now()) {
       co_await Sleep(at - Now());
     }
-    asio::co_spawn(mContext, Counted(aMaker), asio::detached);
+    asio::co_spawn(mContext, TrackCall(aCall), asio::detached);
   }
 }
 
-asio::awaitable<void> CallersRun::Counted(Maker aMaker) {
-  ++mOpen;
-  co_await aMaker();
-  --mOpen;
+asio::awaitable<void> CallersRun::TrackCall(CallFunction aCall) {
+  ++mOpenCalls;
+  co_await aCall();
+  --mOpenCalls;
 }
 
 HttpRequest CallersRun::StreamRequestFor(const std::string& aPrompt) {
@@ -122,27 +125,27 @@
   body["stream"] = true;
   HttpRequest request =
       JsonRequest("POST", "/v1/completions", json::serialize(body));
-  const std::vector<std::string>& houses = mOptions.mHouses;
+  const std::vector<std::string>& accounts = mOptions.mClientAccounts;
   request.mHeaders.push_back(
-      {"Rillwall-House", houses[mRandom() % houses.size()]});
+      {"Rillwall-House", accounts[mRandom() % accounts.size()]});
   mNodes.Authorize(request);
   return request;
 }
 
 asio::awaitable<void> CallersRun::Stream() {
-  const uint64_t number = ++mFigures.mStreams.mStarted;
+  const uint64_t number = ++mStats.mStreams.mStarted;
   const InputLine& line = mInputs[mRandom() % mInputs.size()];
   const std::string prompt =
       MarkedPrompt(line, "caller " + std::to_string(mOptions.mSeed) + "/" +
                              std::to_string(number));
-  for (int move = 0; move < kMoves; ++move) {
+  for (int attempt = 0; attempt < kMaxNodeAttempts; ++attempt) {
     if (co_await StreamAt(mNodes.Pick(), prompt)) {
       co_return;
     }
-    ++mFigures.mStreams.mMoved;
-    co_await Sleep(kPoll);
+    ++mStats.mStreams.mMoved;
+    co_await Sleep(kPollInterval);
   }
-  ++mFigures.mStreams.mUnreachable;
+  ++mStats.mStreams.mUnreachable;
 }
 
 asio::awaitable<bool> CallersRun::StreamAt(Endpoint aNode,
@@ -154,18 +157,18 @@
     if (opened.error().Run() == RunState::NotRun) {
       co_return false;
     }
-    ++mFigures.mStreams.mCut;
+    ++mStats.mStreams.mCut;
     co_return true;
   }
   HttpStream& stream = *opened.value();
   if (stream.Head().mStatus != kOk) {
-    ++mFigures.mStreams.mRefused;
+    ++mStats.mStreams.mRefused;
     const std::string* run = stream.Head().Find("Rillwall-Run");
     if (run && *run == "not-run") {
-      mFigures.mStreams.mNotRun.push_back(PromptId(aPrompt));
+      mStats.mStreams.mNotRun.push_back(PromptId(aPrompt));
     }
     const auto body = co_await stream.Read(kChunkTimeout);
-    mFigures.mStreams.mLastRefusal =
+    mStats.mStreams.mLastRefusal =
         body.has_value() ? body.value() : body.error().Detail();
     co_return true;
   }
@@ -184,23 +187,23 @@
     const bool cut = !part.has_value() || part.value().empty() ||
                      events.Feed(part.value()).has_value();
     if (cut) {
-      mFigures.mStreams.mCrossed += IsOwn(aPrompt, text) ? 0 : 1;
-      ++mFigures.mStreams.mCut;
+      mStats.mStreams.mCrossed += IsOwnAnswer(aPrompt, text) ? 0 : 1;
+      ++mStats.mStreams.mCut;
       co_return;
     }
     while (const auto event = events.Next()) {
       if (event->mData == kSseDone) {
-        JudgeWhole(aPrompt, text, finish, aStart);
+        CheckCompleted(aPrompt, text, finish, aStart);
         co_return;
       }
       if (event->mName == "error") {
-        mFigures.mStreams.mCrossed += IsOwn(aPrompt, text) ? 0 : 1;
-        ++mFigures.mStreams.mCut;
+        mStats.mStreams.mCrossed += IsOwnAnswer(aPrompt, text) ? 0 : 1;
+        ++mStats.mStreams.mCut;
         co_return;
       }
       const CallerChunk chunk = ParseCallerChunk(event->mData);
       if (text.empty() && !chunk.mText.empty()) {
-        mFigures.mStreams.mFirstToken.push_back((Now() - aStart).Count());
+        mStats.mStreams.mFirstToken.push_back((Now() - aStart).Count());
       }
       text += chunk.mText;
       finish = chunk.mFinish;
@@ -208,59 +211,59 @@
   }
 }
 
-void CallersRun::JudgeWhole(const std::string& aPrompt,
-                            const std::string& aText,
-                            const std::string& aFinish, Millis aStart) {
-  StreamFigures& figures = mFigures.mStreams;
+void CallersRun::CheckCompleted(const std::string& aPrompt,
+                                const std::string& aText,
+                                const std::string& aFinish, Millis aStart) {
+  StreamStats& stats = mStats.mStreams;
   const int64_t wanted = std::min(AnswerLength(aPrompt), mOptions.mMaxTokens);
-  if (!IsOwn(aPrompt, aText)) {
-    ++figures.mCrossed;
+  if (!IsOwnAnswer(aPrompt, aText)) {
+    ++stats.mCrossed;
   } else if (CountTokens(aText) != wanted || aFinish.empty()) {
-    ++figures.mShort;
+    ++stats.mShort;
   } else {
-    ++figures.mWhole;
-    figures.mWholeTime.push_back((Now() - aStart).Count());
+    ++stats.mWhole;
+    stats.mWholeTime.push_back((Now() - aStart).Count());
   }
 }
 
 asio::awaitable<void> CallersRun::Read() {
   const Millis start = Now();
   const std::string path = "/status/street-" + std::to_string(mOptions.mSeed) +
-                           "-" + std::to_string(++mFigures.mReads.mStarted);
+                           "-" + std::to_string(++mStats.mReads.mStarted);
   HttpRequest request;
   request.mTarget = "/services/" + mOptions.mService + path;
   mNodes.Authorize(request);
-  const auto answer = co_await SendMoving(std::move(request));
+  const auto answer = co_await SendWithFailover(std::move(request));
   if (!answer.has_value()) {
     const bool sent = answer.error().Run() != RunState::NotRun;
-    ++(sent ? mFigures.mReads.mLost : mFigures.mReads.mUnreachable);
-    mFigures.mReads.mLastFailure = answer.error().Detail();
+    ++(sent ? mStats.mReads.mLost : mStats.mReads.mUnreachable);
+    mStats.mReads.mLastFailure = answer.error().Detail();
     co_return;
   }
   if (answer.value().mStatus != kOk) {
-    ++mFigures.mReads.mRefused;
-    mFigures.mReads.mLastFailure = answer.value().mBody;
+    ++mStats.mReads.mRefused;
+    mStats.mReads.mLastFailure = answer.value().mBody;
     co_return;
   }
   const auto body = ParseObject(answer.value().mBody);
   if (!body.has_value() || TextOf(body.value(), "path") != path) {
-    ++mFigures.mReads.mCrossed;
+    ++mStats.mReads.mCrossed;
     co_return;
   }
-  ++mFigures.mReads.mAnswered;
-  mFigures.mReads.mTime.push_back((Now() - start).Count());
+  ++mStats.mReads.mAnswered;
+  mStats.mReads.mTime.push_back((Now() - start).Count());
 }
 
-asio::awaitable<Result<HttpResponse>> CallersRun::SendMoving(
+asio::awaitable<Result<HttpResponse>> CallersRun::SendWithFailover(
     HttpRequest aRequest) {
-  for (int move = 1;; ++move) {
+  for (int attempt = 1;; ++attempt) {
     auto answer = co_await mClient.Send(mNodes.Pick(), aRequest, kReadTimeout);
     const bool again =
         !answer.has_value() && answer.error().Run() == RunState::NotRun;
-    if (!again || move == kMoves) {
+    if (!again || attempt == kMaxNodeAttempts) {
       co_return answer;
     }
-    co_await Sleep(kPoll);
+    co_await Sleep(kPollInterval);
   }
 }
 
@@ -276,8 +279,8 @@
   for (const auto& [text, spans] : journals.mProduced) {
     ran.insert(text.substr(0, idLength));
   }
-  for (const std::string& prompt : mFigures.mStreams.mNotRun) {
-    mFigures.mStreams.mRanRefused += ran.contains(prompt) ? 1 : 0;
+  for (const std::string& prompt : mStats.mStreams.mNotRun) {
+    mStats.mStreams.mRanRefused += ran.contains(prompt) ? 1 : 0;
   }
 }
 
--- a/src/standin/control.cpp
+++ b/src/standin/control.cpp
@@ -19,7 +19,7 @@
 constexpr int kCrashStatus = 70;
 constexpr Millis kFreezeStep{5};
 
-/// \return a JSON number or truth value as a number
+/// \return a JSON number or boolean as a number, or BadRequest
 Result<double> NumberFrom(std::string_view aName, const json::value& aValue) {
   if (aValue.is_bool()) {
     return aValue.get_bool() ? 1.0 : 0.0;
@@ -40,20 +40,24 @@
   return error;
 }
 
-HttpResponse AnswerFor(const Error& aError) {
+HttpResponse ResponseFor(const Error& aError) {
   return HttpResponse::Json(ErrorStatus(aError.Kind()),
                             json::serialize(ErrorObject(aError)));
 }
 
 HttpResponse Refusal() {
-  return AnswerFor(Error(ErrorKind::Unavailable, "Refused on command."));
+  return ResponseFor(
+      Error(ErrorKind::Unavailable,
+            "Refused by the injected fault; reset it at /control."));
 }
 
-std::error_code Dropped() { return make_error_code(ErrorKind::ConnectionLost); }
+std::error_code DroppedError() {
+  return make_error_code(ErrorKind::ConnectionLost);
+}
 
 }  // namespace
 
-bool Fault::Take() {
+bool Fault::Consume() {
   double left = mValue.load();
   while (left > 0) {
     if (mValue.compare_exchange_weak(left, left - 1)) {
@@ -68,32 +72,32 @@
   mValue = aValue;
 }
 
-/// The answer's side of a request under the common faults.
+/// Decorates an exchange with the common faults that act on responses.
 class Control::Exchange final : public HttpExchange {
  public:
   Exchange(const Control& aControl, HttpExchange& aInner)
       : mControl(aControl), mInner(aInner) {}
 
   asio::awaitable<std::error_code> Respond(HttpResponse aResponse) override {
-    const bool answer = co_await MayAnswer();
+    const bool answer = co_await PrepareResponse();
     if (!answer) {
-      co_return Dropped();
+      co_return DroppedError();
     }
     co_return co_await mInner.Respond(std::move(aResponse));
   }
   asio::awaitable<std::error_code> Begin(HttpResponse aHead) override {
-    const bool answer = co_await MayAnswer();
+    const bool answer = co_await PrepareResponse();
     if (!answer) {
-      co_return Dropped();
+      co_return DroppedError();
     }
     co_return co_await mInner.Begin(std::move(aHead));
   }
   asio::awaitable<std::error_code> Write(std::string aChunk) override {
-    co_await mControl.Thawed();
+    co_await mControl.WaitWhileFrozen();
     co_return co_await mInner.Write(std::move(aChunk));
   }
   asio::awaitable<std::error_code> End() override {
-    co_await mControl.Thawed();
+    co_await mControl.WaitWhileFrozen();
     co_return co_await mInner.End();
   }
   void Cut() override { mInner.Cut(); }
@@ -104,11 +108,13 @@
   }
 
  private:
-  /// Waits as the faults say. The effect has taken place by now.
-  asio::awaitable<bool> MayAnswer() {
-    co_await mControl.Slowed();
-    co_await mControl.Thawed();
-    const bool dropped = mControl.mDropAnswer->Take();
+  /// Applies the delays and drop_answer. The handler has done its work before,
+  /// so a dropped response leaves an effect that the caller cannot know.
+  /// \return whether to send the response
+  asio::awaitable<bool> PrepareResponse() {
+    co_await mControl.DelayIfSlowed();
+    co_await mControl.WaitWhileFrozen();
+    const bool dropped = mControl.mDropAnswer->Consume();
     if (dropped) {
       mInner.Cut();
     }
@@ -185,7 +191,7 @@
     }
   }
   if (parsed.get_object().contains(mFreeze->Name())) {
-    mFrozenUntil = (Now() + mFreeze->Span()).Count();
+    mFrozenUntil = (Now() + mFreeze->Duration()).Count();
   }
   if (mCrash->On()) {
     std::_Exit(kCrashStatus);
@@ -213,7 +219,7 @@
   return {};
 }
 
-std::string Control::Text() const {
+std::string Control::ToJson() const {
   json::object text;
   for (const auto& fault : mFaults) {
     text[fault->Name()] = fault->Value();
@@ -221,19 +227,19 @@
   return json::serialize(text);
 }
 
-asio::awaitable<void> Control::Thawed() const {
+asio::awaitable<void> Control::WaitWhileFrozen() const {
   while (Now().Count() < mFrozenUntil.load()) {
     co_await Sleep(kFreezeStep);
   }
 }
 
-asio::awaitable<void> Control::Slowed() const {
+asio::awaitable<void> Control::DelayIfSlowed() const {
   if (mSlow->On()) {
-    co_await Sleep(mSlow->Span());
+    co_await Sleep(mSlow->Duration());
   }
 }
 
-bool Control::Exempt(std::string_view aPath) const {
+bool Control::IsExempt(std::string_view aPath) const {
   for (const std::string& path : mExempt) {
     if (aPath == path) {
       return true;
@@ -242,14 +248,14 @@
   return false;
 }
 
-HttpResponse Control::AnswerControl(const HttpRequest& aRequest) {
+HttpResponse Control::HandleControl(const HttpRequest& aRequest) {
   if (aRequest.mMethod == "POST") {
     const Result<void> applied = Apply(aRequest.mBody);
     if (!applied.has_value()) {
-      return AnswerFor(applied.error());
+      return ResponseFor(applied.error());
     }
   }
-  return HttpResponse::Json(200, Text());
+  return HttpResponse::Json(200, ToJson());
 }
 
 HttpHandler Control::Wrap(HttpHandler aHandler) {
@@ -257,15 +263,15 @@
              const HttpRequest& aRequest,
              HttpExchange& aExchange) -> asio::awaitable<void> {
     if (aRequest.Path() == kControlPath) {
-      HttpResponse answer = AnswerControl(aRequest);
+      HttpResponse answer = HandleControl(aRequest);
       co_await aExchange.Respond(std::move(answer));
       co_return;
     }
-    if (Exempt(aRequest.Path())) {
+    if (IsExempt(aRequest.Path())) {
       co_await handler(aRequest, aExchange);
       co_return;
     }
-    co_await Thawed();
+    co_await WaitWhileFrozen();
     if (mRefuse->On()) {
       HttpResponse refusal = Refusal();
       co_await aExchange.Respond(std::move(refusal));
--- a/src/standin/control.h
+++ b/src/standin/control.h
@@ -1,9 +1,10 @@
 /// \file
-/// Faults on command, as every stand-in offers them at /control.
+/// Fault injection for the stand-ins through the HTTP path /control.
 ///
-/// A stand-in declares its own faults on a Control, wraps its handler with it
-/// and reads the faults while it serves. The common faults (freeze_ms, slow_ms,
-/// refuse, crash, drop_answer) are carried out by the wrapper alone.
+/// A stand-in declares its own faults with Control::Add(), wraps its handler
+/// with Control::Wrap() and reads the faults while it serves. The wrapper
+/// implements the common faults: freeze_ms, slow_ms, refuse, crash and
+/// drop_answer.
 
 #pragma once
 
@@ -18,8 +19,9 @@
 
 namespace rillwall::standin {
 
-/// One fault or setting. A flag is 0 or 1; a count is used up by Take(), and
-/// -1 stands for "all". Thread-safe.
+/// A fault or setting. The value is a flag (0 or 1), a number, or a count of
+/// faults to inject that Consume() decrements; a count of -1 is unlimited.
+/// Thread-safe.
 class Fault {
  public:
   Fault(std::string aName, double aDefault)
@@ -28,14 +30,15 @@
   const std::string& Name() const { return mName; }
   double Value() const { return mValue.load(); }
   int64_t Count() const { return static_cast<int64_t>(mValue.load()); }
-  Millis Span() const { return Millis(Count()); }
+  /// \return the value as milliseconds
+  Millis Duration() const { return Millis(Count()); }
   bool On() const { return mValue.load() != 0; }
-  /// Uses up one of a count.
-  /// \return whether the fault strikes now
-  bool Take();
+  /// Decrements a positive count.
+  /// \return whether the fault must be injected now
+  bool Consume();
   void Set(double aValue) { mValue = aValue; }
   void Reset() { mValue = mDefault.load(); }
-  /// Sets the value and what Reset() goes back to.
+  /// Sets the value and the default that Reset() restores.
   void SetDefault(double aValue);
 
  private:
@@ -44,40 +47,42 @@
   std::atomic<double> mValue;
 };
 
-/// The faults of one stand-in. Declare all before serving.
+/// The faults of one stand-in. All faults must be declared before serving.
 class Control {
  public:
-  /// \param aExempt paths that no fault touches, besides /control: what a test
-  /// reads to check (a journal, counts)
+  /// \param aExempt paths on which no fault acts, besides /control, so that
+  /// tests can read results (a journal, counts) while faults are active
   explicit Control(std::vector<std::string> aExempt = {});
 
   /// Declares a fault or setting of this stand-in.
-  /// \return it; valid as long as the Control
+  /// \return the fault; valid during the lifetime of the Control
   Fault& Add(std::string aName, double aDefault = 0);
 
-  /// Applies a JSON object of faults, all or none.
-  /// \return nothing, or BadRequest naming the unknown field and the known ones
+  /// Applies a JSON object of faults by name, either all or none.
+  /// \return nothing, or BadRequest with the unknown name and the known ones
   Result<void> Apply(std::string_view aJson);
-  /// Sets what one fault starts with and is reset to, from "name=value".
+  /// Sets the value and the default of one fault.
+  /// \param aAssignment "name=number"
+  /// \return nothing, or BadRequest
   Result<void> ApplyDefault(std::string_view aAssignment);
   /// \return all faults as a JSON object
-  std::string Text() const;
+  std::string ToJson() const;
 
-  /// Waits while the process is frozen. Exchanges of a wrapped handler do so
-  /// by themselves; work in the background must call it.
-  asio::awaitable<void> Thawed() const;
-  /// Waits as long as slow_ms says.
-  asio::awaitable<void> Slowed() const;
+  /// Waits while freeze_ms is in effect. The wrapper waits before it writes a
+  /// response; background work must call this method itself.
+  asio::awaitable<void> WaitWhileFrozen() const;
+  /// Waits for the duration of slow_ms.
+  asio::awaitable<void> DelayIfSlowed() const;
 
-  /// \return a handler that serves /control and carries out the common faults
-  /// around aHandler
+  /// \return a handler that serves /control and injects the common faults into
+  /// the exchanges of aHandler
   HttpHandler Wrap(HttpHandler aHandler);
 
  private:
   class Exchange;
-  bool Exempt(std::string_view aPath) const;
+  bool IsExempt(std::string_view aPath) const;
   Fault* Find(std::string_view aName) const;
-  HttpResponse AnswerControl(const HttpRequest& aRequest);
+  HttpResponse HandleControl(const HttpRequest& aRequest);
   Result<void> CheckKnown(std::string_view aName) const;
   void ResetAll();
 
@@ -88,13 +93,13 @@
   Fault* mRefuse;
   Fault* mCrash;
   Fault* mDropAnswer;
-  /// Instant until which nothing is answered.
+  /// Instant until which freeze_ms suspends all responses, in milliseconds.
   std::atomic<int64_t> mFrozenUntil{0};
 };
 
-/// \return the monotonic clock's time
+/// \return the time of the monotonic clock
 Millis Now();
-/// Waits in a coroutine.
+/// Suspends the calling coroutine for a duration.
 asio::awaitable<void> Sleep(Millis aSpan);
 
 }  // namespace rillwall::standin
--- a/src/standin/control_serve.cpp
+++ b/src/standin/control_serve.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// Reports what stops the process from starting, and ends it.
-void Fail(const Error& aError) {
+/// Prints an error that prevents the start, and ends the process.
+void ExitWithError(const Error& aError) {
   std::cerr << "standin: " << aError.Message() << "\n";
   throw CLI::RuntimeError(1);
 }
 
 }  // namespace
 
-void AddServeOptions(CLI::App& aVerb, ServeOptions& aOptions) {
-  aVerb.add_option("--listen", aOptions.mListen,
-                   "ip:port to serve on; port 0 takes a free one");
-  aVerb.add_option("--set", aOptions.mSet,
-                   "name=number of a fault or setting at the start");
+void AddServeOptions(CLI::App& aCommand, ServeOptions& aOptions) {
+  aCommand.add_option("--listen", aOptions.mListen,
+                      "ip:port to listen on; port 0 selects a free one");
+  aCommand.add_option("--set", aOptions.mSet,
+                      "Initial value of a fault or setting, name=number");
 }
 
 void Serve(const ServeOptions& aOptions, Control& aControl,
@@ -30,18 +30,18 @@
   for (const std::string& assignment : aOptions.mSet) {
     const Result<void> applied = aControl.ApplyDefault(assignment);
     if (!applied.has_value()) {
-      Fail(applied.error());
+      ExitWithError(applied.error());
     }
   }
   const Result<Endpoint> wanted = Endpoint::Parse(aOptions.mListen);
   if (!wanted.has_value()) {
-    Fail(wanted.error());
+    ExitWithError(wanted.error());
   }
   asio::io_context context(1);
   HttpServer server(context, aLimits, aControl.Wrap(std::move(aHandler)));
   const Result<Endpoint> taken = server.Listen(wanted.value());
   if (!taken.has_value()) {
-    Fail(taken.error());
+    ExitWithError(taken.error());
   }
   std::cout << "listening " << taken.value().Text() << std::endl;
   asio::signal_set signals(context, SIGTERM, SIGINT);
@@ -91,18 +91,18 @@
   return number;
 }
 
-HttpResponse JsonAnswer(int aStatus, const json::value& aValue) {
+HttpResponse MakeJsonResponse(int aStatus, const json::value& aValue) {
   return HttpResponse::Json(aStatus, json::serialize(aValue));
 }
 
-HttpResponse ErrorAnswer(int aStatus, std::string_view aKind,
-                         std::string_view aMessage) {
+HttpResponse MakeErrorResponse(int aStatus, std::string_view aKind,
+                               std::string_view aMessage) {
   json::object particulars;
   particulars["kind"] = aKind;
   particulars["message"] = aMessage;
   json::object answer;
   answer["error"] = std::move(particulars);
-  return JsonAnswer(aStatus, answer);
+  return MakeJsonResponse(aStatus, answer);
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/control_serve.h
+++ b/src/standin/control_serve.h
@@ -1,5 +1,6 @@
 /// \file
-/// Running one stand-in process: options, the server, signals, JSON answers.
+/// Common parts of the stand-in processes: options, HTTP server, signal
+/// handling and JSON messages.
 
 #pragma once
 
@@ -16,35 +17,39 @@
 
 namespace json = boost::json;
 
-/// Options that all serving stand-ins share.
+/// Options shared by all stand-ins that serve HTTP.
 struct ServeOptions {
-  std::string mListen = "127.0.0.1:0";
-  std::vector<std::string> mSet;  ///< "name=value" of faults at the start
+  std::string mListen = "127.0.0.1:0";  ///< "ip:port"; port 0: any free one
+  std::vector<std::string> mSet;  ///< initial values of faults, "name=value"
 };
 
 /// Adds --listen and --set to a subcommand.
-void AddServeOptions(CLI::App& aVerb, ServeOptions& aOptions);
-
-/// Serves until SIGTERM or SIGINT on one thread, so that handlers need no lock
-/// between two waits. Prints "listening ip:port" once it accepts.
-/// \param aOnStart called with the context before it runs, for background work
-/// \throws CLI::RuntimeError if the address cannot be taken
+void AddServeOptions(CLI::App& aCommand, ServeOptions& aOptions);
+
+/// Serves until SIGTERM or SIGINT. Everything runs on one thread, so handlers
+/// need no locks between two suspension points. Prints "listening ip:port" once
+/// connections are accepted.
+/// \param aOnStart called with the context before it runs, to start background
+/// coroutines
+/// \throws CLI::RuntimeError if an initial value is invalid or the address
+/// cannot be bound
 void Serve(const ServeOptions& aOptions, Control& aControl,
            HttpHandler aHandler, HttpLimits aLimits = {},
            std::function<void(asio::io_context&)> aOnStart = nullptr);
 
-/// \return the body as an object, or BadRequest
+/// \return the body as a JSON object, or BadRequest
 Result<json::object> ParseObject(std::string_view aBody);
-/// \return a member's text, or aDefault if absent or of another type
+/// \return the string in a member, or aDefault if it is absent or not a string
 std::string TextOf(const json::object& aObject, std::string_view aName,
                    std::string_view aDefault = "");
-/// \return a member's number, also if it is written as a decimal string
+/// \return the number in a member, which may also be written as a decimal
+/// string; aDefault if it is absent or of another type
 int64_t NumberOf(const json::object& aObject, std::string_view aName,
                  int64_t aDefault = 0);
-/// \return an answer with a JSON value
-HttpResponse JsonAnswer(int aStatus, const json::value& aValue);
-/// \return `{"error":{"kind","message"}}`
-HttpResponse ErrorAnswer(int aStatus, std::string_view aKind,
-                         std::string_view aMessage);
+/// \return a response with a JSON body
+HttpResponse MakeJsonResponse(int aStatus, const json::value& aValue);
+/// \return a response with the body `{"error":{"kind","message"}}`
+HttpResponse MakeErrorResponse(int aStatus, std::string_view aKind,
+                               std::string_view aMessage);
 
 }  // namespace rillwall::standin
--- a/src/standin/driver_journals.cpp
+++ b/src/standin/driver_journals.cpp
@@ -53,7 +53,7 @@
   for (const Endpoint& engine : aEngines) {
     const auto answer = co_await aClient.Send(engine, request, kJournalTimeout);
     if (!answer.has_value() || !ReadJournal(answer.value().mBody, journals)) {
-      ++journals.mLost;
+      ++journals.mUnreadable;
     }
   }
   co_return journals;
--- a/src/standin/driver_journals.h
+++ b/src/standin/driver_journals.h
@@ -1,5 +1,6 @@
 /// \file
-/// Reading the engines' journals: what was really produced.
+/// Reads the journals of the engine stand-ins, which record the tokens that
+/// were produced and the weight versions that produced them.
 
 #pragma once
 
@@ -12,17 +13,19 @@
 
 namespace rillwall::standin {
 
-/// What all engines together produced.
+/// The merged journals of several engines.
 struct EngineJournals {
-  /// Spans by AnswerText::Id().
+  /// Spans of produced tokens by AnswerText::Id().
   std::unordered_map<std::string, std::vector<VersionSpan>> mProduced;
-  uint64_t mLost = 0;  ///< journals that could not be read
+  uint64_t mUnreadable = 0;  ///< journals that could not be read
 };
 
+/// Reads the journals of all engines given, one after the other.
 asio::awaitable<EngineJournals> ReadJournals(
     HttpClient& aClient, const std::vector<Endpoint>& aEngines);
 
-/// \return whether spans of one version cover [aSpan.mBegin, aSpan.mEnd)
+/// \return whether the spans of aSpan.mVersion in aProduced cover
+/// [aSpan.mBegin, aSpan.mEnd) without gaps
 bool Covers(std::vector<VersionSpan> aProduced, const VersionSpan& aSpan);
 
 }  // namespace rillwall::standin
--- a/src/standin/driver_nodes.cpp
+++ b/src/standin/driver_nodes.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr Millis kRetryPause{100};
-constexpr Millis kLongestRetryAfter{5000};
+constexpr Millis kRetryDelay{100};
+constexpr Millis kMaxRetryAfter{5000};
 constexpr int kTooMany = 429;
 constexpr int kServerError = 500;
 constexpr int64_t kMillisPerSecond = 1000;
 
-/// \return the header's whole number, or -1
+/// \return the integer in a header, or -1
 int64_t NumberIn(const HttpResponse& aResponse, std::string_view aName) {
   const std::string* text = aResponse.Find(aName);
   int64_t number = -1;
@@ -25,7 +25,7 @@
   return number;
 }
 
-bool MustRepeat(int aStatus) {
+bool ShouldRetry(int aStatus) {
   return aStatus == kTooMany || aStatus >= kServerError;
 }
 
@@ -37,7 +37,7 @@
   if (wait < 0 && seconds >= 0) {
     wait = seconds * kMillisPerSecond;
   }
-  return wait < 0 ? kRetryPause : std::min(Millis(wait), kLongestRetryAfter);
+  return wait < 0 ? kRetryDelay : std::min(Millis(wait), kMaxRetryAfter);
 }
 
 HttpRequest JsonRequest(std::string aMethod, std::string aTarget,
@@ -61,11 +61,11 @@
 }
 
 NodeSet::NodeSet(HttpClient& aClient, std::vector<Endpoint> aNodes,
-                 std::string aToken, Millis aPatience, uint64_t aSeed)
+                 std::string aToken, Millis aRetryTimeout, uint64_t aSeed)
     : mClient(aClient),
       mNodes(std::move(aNodes)),
       mToken(std::move(aToken)),
-      mPatience(aPatience),
+      mRetryTimeout(aRetryTimeout),
       mRandom(aSeed) {}
 
 Result<std::vector<Endpoint>> NodeSet::Parse(
@@ -89,29 +89,30 @@
   }
 }
 
-asio::awaitable<Result<NodeAnswer>> NodeSet::Ask(HttpRequest aRequest,
-                                                 Millis aTimeout) {
+asio::awaitable<Result<NodeResponse>> NodeSet::Ask(HttpRequest aRequest,
+                                                   Millis aTimeout) {
   Authorize(aRequest);
-  const Millis end = Now() + mPatience;
-  NodeAnswer answer;
+  const Millis end = Now() + mRetryTimeout;
+  NodeResponse answer;
   while (true) {
     const Endpoint node = Pick();
     auto sent = co_await mClient.Send(node, aRequest, aTimeout);
-    Millis pause = kRetryPause;
+    Millis pause = kRetryDelay;
     if (!sent.has_value()) {
-      ++mRepeats.mLost;
-      answer.mRepeated |= sent.error().Run() != RunState::NotRun;
-    } else if (!MustRepeat(sent.value().mStatus)) {
+      ++mRetries.mLost;
+      answer.mMayHaveRun |= sent.error().Run() != RunState::NotRun;
+    } else if (!ShouldRetry(sent.value().mStatus)) {
       answer.mResponse = std::move(sent.value());
       co_return answer;
     } else {
-      ++mRepeats.mRefused;
-      answer.mRepeated |= sent.value().mStatus != kTooMany;
+      ++mRetries.mRefused;
+      answer.mMayHaveRun |= sent.value().mStatus != kTooMany;
       pause = RetryAfterOf(sent.value());
     }
     if (Now() > end) {
-      co_return Error(ErrorKind::Timeout, "No node took " + aRequest.mMethod +
-                                              " " + aRequest.mTarget + ".");
+      co_return Error(ErrorKind::Timeout, "No node accepted " +
+                                              aRequest.mMethod + " " +
+                                              aRequest.mTarget + ".");
     }
     co_await Sleep(pause);
   }
--- a/src/standin/driver_nodes.h
+++ b/src/standin/driver_nodes.h
@@ -1,5 +1,6 @@
 /// \file
-/// How drivers reach rillwall's nodes: any of them, as behind a balancer.
+/// Client side of the drivers: sends requests to random rillwall nodes, as a
+/// load balancer in front of them would.
 
 #pragma once
 
@@ -12,60 +13,66 @@
 
 namespace rillwall::standin {
 
-/// How often calls had to be repeated.
-struct RepeatCounts {
-  uint64_t mLost = 0;     ///< connection or time lost
-  uint64_t mRefused = 0;  ///< 429 and 5xx
-  bool operator==(const RepeatCounts&) const = default;
+/// Counts of retries by cause.
+struct RetryCounts {
+  uint64_t mLost = 0;     ///< connection lost or timed out
+  uint64_t mRefused = 0;  ///< response with status 429 or 5xx
+  bool operator==(const RetryCounts&) const = default;
 };
 
-/// An answer, and whether an earlier try may have taken effect already.
-struct NodeAnswer {
+/// A response, and whether an earlier attempt may have taken effect already.
+struct NodeResponse {
   HttpResponse mResponse;
-  bool mRepeated = false;
+  bool mMayHaveRun = false;
 };
 
-/// The nodes of a fleet. Single-threaded.
+/// The nodes of a cluster, with retries across them. Single-threaded.
 class NodeSet {
  public:
-  /// \param aToken credential; empty for none
-  /// \param aPatience how long one call is repeated
+  /// \param aToken bearer token; empty for none
+  /// \param aRetryTimeout how long one request is retried
   NodeSet(HttpClient& aClient, std::vector<Endpoint> aNodes, std::string aToken,
-          Millis aPatience, uint64_t aSeed);
+          Millis aRetryTimeout, uint64_t aSeed);
 
-  /// \return endpoints from "ip:port" texts, or BadRequest
+  /// \return the endpoints, or BadRequest
+  /// \param aTexts "ip:port" each
   static Result<std::vector<Endpoint>> Parse(
       const std::vector<std::string>& aTexts);
 
-  /// \return one node, each as likely as the others
+  /// \return a random node, chosen uniformly
   const Endpoint& Pick();
   size_t Size() const { return mNodes.size(); }
   const Endpoint& At(size_t aIndex) const { return mNodes[aIndex]; }
-  /// Adds the credential.
+  /// Adds the Authorization header, if there is a token.
   void Authorize(HttpRequest& aRequest) const;
 
-  /// Asks nodes until one answers with less than 500 and not 429, and comes
-  /// back when a refusal says so.
-  asio::awaitable<Result<NodeAnswer>> Ask(HttpRequest aRequest,
-                                          Millis aTimeout);
-  const RepeatCounts& Repeats() const { return mRepeats; }
+  /// Sends a request to random nodes until a response has a status below 500
+  /// other than 429. Waits between attempts as the Retry-After headers ask.
+  /// \param aTimeout of one attempt
+  /// \return the response, or Timeout if the retry timeout has passed
+  asio::awaitable<Result<NodeResponse>> Ask(HttpRequest aRequest,
+                                            Millis aTimeout);
+  const RetryCounts& Retries() const { return mRetries; }
 
  private:
   HttpClient& mClient;
   std::vector<Endpoint> mNodes;
   std::string mToken;
-  Millis mPatience;
+  Millis mRetryTimeout;
   std::mt19937_64 mRandom;
-  RepeatCounts mRepeats;
+  RetryCounts mRetries;
 };
 
-/// \return how long an answer asks to wait; at most a few seconds
+/// \return the delay that Retry-After-Ms or Retry-After asks for, limited to
+/// kMaxRetryAfter; a short default if there is no such header
 Millis RetryAfterOf(const HttpResponse& aResponse);
 /// \return a request with a JSON body
 HttpRequest JsonRequest(std::string aMethod, std::string aTarget,
                         std::string aBody);
 
-/// \return the value below which a share of the values lies; 0 for none
+/// \return the quantile of the values, without interpolation; 0 if there are
+/// none
+/// \param aShare from 0 to 1
 int64_t Quantile(std::vector<int64_t> aValues, double aShare);
 
 }  // namespace rillwall::standin
--- a/src/standin/engine.cpp
+++ b/src/standin/engine.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// The engine verb.
+/// The engine subcommand.
 
+#include "commands.h"
 #include "engine_server.h"
-#include "verbs.h"
 
 namespace rillwall::standin {
 
@@ -25,35 +25,36 @@
 
 }  // namespace
 
-void AddEngineVerb(CLI::App& aApp) {
+void AddEngineCommand(CLI::App& aApp) {
   auto options = std::make_shared<EngineOptions>();
-  CLI::App* verb = aApp.add_subcommand("engine", "A model engine");
-  AddServeOptions(*verb, options->mServe);
+  CLI::App* command = aApp.add_subcommand("engine", "A model engine");
+  AddServeOptions(*command, options->mServe);
   EngineSettings& settings = options->mSettings;
-  verb->add_option("--model", options->mModel, "Model served");
-  verb->add_option("--zone", options->mZone, "Availability zone, for logs");
-  verb->add_option("--weights", options->mWeightStore,
-                   "ip:port of the weight store for orders without a host");
-  verb->add_option("--version", options->mVersion, "First weight version");
-  verb->add_option("--slots", settings.mSlots, "Streams batched at most");
-  verb->add_option("--queue", settings.mQueue, "Streams waiting at most");
-  verb->add_option("--rate", settings.mRate,
-                   "Tokens per second of a lone stream");
-  verb->add_option("--batch-cost", settings.mBatchCost,
-                   "Slowdown of each stream per stream in the batch");
-  verb->add_option("--prefill-rate", settings.mPrefillRate,
-                   "Prompt tokens per second");
-  verb->add_option("--cache-tokens", settings.mCacheTokens,
-                   "Memory for streams and prefixes, in tokens");
-  verb->add_option("--chunk-ms", options->mChunkMillis,
-                   "Time between two chunks of a stream");
-  verb->add_option("--swap-ms", options->mSwapMillis,
-                   "How long a swap stops decoding");
-  verb->add_option("--load-lag-ms", options->mLoadLagMillis,
-                   "Lag of /load at the start");
-  verb->add_option("--event-lag-ms", options->mEventLagMillis,
-                   "Lag of /events");
-  verb->callback([options] { RunEngine(*options); });
+  command->add_option("--model", options->mModel, "Model to serve");
+  command->add_option("--zone", options->mZone, "Availability zone, for logs");
+  command->add_option("--weights", options->mWeightStore,
+                      "ip:port of the weight store for orders without a host");
+  command->add_option("--version", options->mVersion, "Initial weight version");
+  command->add_option("--slots", settings.mSlots,
+                      "Maximum streams in the batch");
+  command->add_option("--queue", settings.mQueue, "Maximum waiting streams");
+  command->add_option("--rate", settings.mRate,
+                      "Tokens per second of a single stream");
+  command->add_option("--batch-cost", settings.mBatchCost,
+                      "Relative slowdown per stream in the batch");
+  command->add_option("--prefill-rate", settings.mPrefillRate,
+                      "Prompt tokens per second");
+  command->add_option("--cache-tokens", settings.mCacheTokens,
+                      "Memory for streams and cached prefixes, in tokens");
+  command->add_option("--chunk-ms", options->mChunkMillis,
+                      "Interval between the chunks of a stream");
+  command->add_option("--swap-ms", options->mSwapMillis,
+                      "Pause of decoding during a weight swap");
+  command->add_option("--load-lag-ms", options->mLoadLagMillis,
+                      "Initial age of the reports of /load");
+  command->add_option("--event-lag-ms", options->mEventLagMillis,
+                      "Delay of events in /events");
+  command->callback([options] { RunEngine(*options); });
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/engine_cache.cpp
+++ b/src/standin/engine_cache.cpp
@@ -11,12 +11,12 @@
 
 constexpr size_t kBlockBytes = kBlockTokens * kPromptBytesPerToken;
 constexpr size_t kMaxEvents = 4096;
-/// Every so many events one is lost, so that readers meet gaps.
-constexpr uint64_t kLossInterval = 37;
+/// One of this many events is dropped, so that readers must handle gaps.
+constexpr uint64_t kDropInterval = 37;
 
 }  // namespace
 
-std::vector<BlockHash> BlocksOf(std::string_view aText) {
+std::vector<BlockHash> HashBlocks(std::string_view aText) {
   std::vector<BlockHash> blocks;
   blocks.reserve(aText.size() / kBlockBytes);
   BlockHash hash = 0;
@@ -27,13 +27,13 @@
   return blocks;
 }
 
-void PrefixCache::Touch(std::list<BlockHash>::iterator aPlace) {
-  mByUse.splice(mByUse.begin(), mByUse, aPlace);
+void PrefixCache::Touch(std::list<BlockHash>::iterator aEntry) {
+  mLruOrder.splice(mLruOrder.begin(), mLruOrder, aEntry);
 }
 
-void PrefixCache::Log(bool aStored, BlockHash aPrefix, Millis aNow) {
+void PrefixCache::RecordEvent(bool aStored, BlockHash aPrefix, Millis aNow) {
   ++mLastEvent;
-  if (mLastEvent % kLossInterval == 0) {
+  if (mLastEvent % kDropInterval == 0) {
     return;
   }
   mEvents.push_back({mLastEvent, aStored, aPrefix, aNow});
@@ -44,12 +44,13 @@
 
 int64_t PrefixCache::Match(const std::vector<BlockHash>& aBlocks) {
   size_t matched = 0;
-  while (matched < aBlocks.size() && mPlaces.contains(aBlocks[matched])) {
+  while (matched < aBlocks.size() && mEntryByHash.contains(aBlocks[matched])) {
     ++matched;
   }
-  // A prefix's first block must outlive the later ones, so it is used last.
+  // A block is useless without the blocks before it. Touching the first block
+  // last makes it the last one to be evicted.
   for (size_t index = matched; index-- > 0;) {
-    Touch(mPlaces.at(aBlocks[index]));
+    Touch(mEntryByHash.at(aBlocks[index]));
   }
   return static_cast<int64_t>(matched) * kBlockTokens;
 }
@@ -58,24 +59,24 @@
                         Millis aNow) {
   for (size_t index = aBlocks.size(); index-- > 0;) {
     const BlockHash block = aBlocks[index];
-    const auto found = mPlaces.find(block);
-    if (found != mPlaces.end()) {
+    const auto found = mEntryByHash.find(block);
+    if (found != mEntryByHash.end()) {
       Touch(found->second);
       continue;
     }
-    mByUse.push_front(block);
-    mPlaces.emplace(block, mByUse.begin());
-    Log(true, block, aNow);
+    mLruOrder.push_front(block);
+    mEntryByHash.emplace(block, mLruOrder.begin());
+    RecordEvent(true, block, aNow);
   }
   Shrink(aTokens, aNow);
 }
 
 void PrefixCache::Shrink(int64_t aTokens, Millis aNow) {
-  while (!mByUse.empty() && Tokens() > aTokens) {
-    const BlockHash oldest = mByUse.back();
-    mByUse.pop_back();
-    mPlaces.erase(oldest);
-    Log(false, oldest, aNow);
+  while (!mLruOrder.empty() && Tokens() > aTokens) {
+    const BlockHash oldest = mLruOrder.back();
+    mLruOrder.pop_back();
+    mEntryByHash.erase(oldest);
+    RecordEvent(false, oldest, aNow);
   }
 }
 
--- a/src/standin/engine_core.cpp
+++ b/src/standin/engine_core.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Weight of a tick in the smoothed rate.
+/// Weight of a tick in the exponentially smoothed rate.
 constexpr double kRateSmoothing = 0.05;
 constexpr double kMillisPerSecond = 1000.0;
 
@@ -34,12 +34,12 @@
   const int64_t length = request.mTargetTokens > 0
                              ? request.mTargetTokens
                              : AnswerLength(request.mPrompt);
-  stream->mShortened = length > request.mMaxTokens;
-  stream->mWholeLength = std::min(length, request.mMaxTokens);
-  stream->mBlocks = BlocksOf(request.mPrompt);
+  stream->mTruncated = length > request.mMaxTokens;
+  stream->mTotalTokens = std::min(length, request.mMaxTokens);
+  stream->mBlocks = HashBlocks(request.mPrompt);
   stream->mPromptTokens = PromptTokens(request);
-  stream->mProduced = std::min(request.mResumeTokens, stream->mWholeLength);
-  stream->mTaken = stream->mProduced;
+  stream->mProduced = std::min(request.mResumeTokens, stream->mTotalTokens);
+  stream->mDeliveredTokens = stream->mProduced;
   stream->mArrived = aNow;
   mStreams.push_back(stream);
   Admit(aNow);
@@ -110,14 +110,14 @@
   const double share = StreamRate() * aSpeed * aSeconds;
   int64_t total = 0;
   for (const StreamHandle& stream : mStreams) {
-    if (stream->mState != StreamState::Decode || stream->Complete()) {
+    if (stream->mState != StreamState::Decode || stream->IsComplete()) {
       continue;
     }
-    stream->mCredit += share;
-    const auto whole = static_cast<int64_t>(stream->mCredit);
+    stream->mFractionalTokens += share;
+    const auto whole = static_cast<int64_t>(stream->mFractionalTokens);
     const int64_t tokens =
-        std::min(whole, stream->mWholeLength - stream->mProduced);
-    stream->mCredit -= static_cast<double>(whole);
+        std::min(whole, stream->mTotalTokens - stream->mProduced);
+    stream->mFractionalTokens -= static_cast<double>(whole);
     Produce(*stream, tokens);
     total += tokens;
   }
@@ -141,20 +141,20 @@
   aStream.mProduced = end;
 }
 
-bool EngineCore::Take(EngineStream& aStream, StreamPart& aPart) {
+bool EngineCore::TakeOutput(EngineStream& aStream, StreamPart& aPart) {
   for (const VersionSpan& span : aStream.mSpans) {
-    if (span.mEnd > aStream.mTaken) {
-      aPart = {span.mVersion, aStream.mTaken, span.mEnd};
-      aStream.mTaken = span.mEnd;
+    if (span.mEnd > aStream.mDeliveredTokens) {
+      aPart = {span.mVersion, aStream.mDeliveredTokens, span.mEnd};
+      aStream.mDeliveredTokens = span.mEnd;
       return true;
     }
   }
   return false;
 }
 
-void EngineCore::End(const StreamHandle& aStream, std::string aEnding) {
+void EngineCore::End(const StreamHandle& aStream, std::string aEndReason) {
   aStream->mState = StreamState::Ended;
-  aStream->mEnding = std::move(aEnding);
+  aStream->mEndReason = std::move(aEndReason);
   mStreams.remove(aStream);
 }
 
--- a/src/standin/engine_core_test.cpp
+++ b/src/standin/engine_core_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the engine stand-in: its text, batch, priorities and cache.
+/// Tests the engine stand-in: generated text, batch, priorities and cache.
 
 #include "engine_core.h"
 
@@ -32,34 +32,35 @@
 class EngineCoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineCoreTest);
   CPPUNIT_TEST(TextIsRecoveredFromItsFirstToken);
-  CPPUNIT_TEST(TextOfAnotherPromptIsTold);
+  CPPUNIT_TEST(TextOfAnotherPromptIsDetected);
   CPPUNIT_TEST(LengthIsReadFromPrompt);
   CPPUNIT_TEST(StreamRateFallsWithBatch);
-  CPPUNIT_TEST(UrgentStreamGoesFirst);
-  CPPUNIT_TEST(FullQueueRefuses);
-  CPPUNIT_TEST(SwapSplitsSpans);
-  CPPUNIT_TEST(ResumeContinues);
+  CPPUNIT_TEST(MoreUrgentStreamIsAdmittedFirst);
+  CPPUNIT_TEST(FullQueueRejectsStream);
+  CPPUNIT_TEST(WeightSwapStartsNewSpan);
+  CPPUNIT_TEST(ResumedStreamStartsAtItsOffset);
   CPPUNIT_TEST(CachedPrefixShortensPrefill);
-  CPPUNIT_TEST(CacheKeepsFirstBlocksLongest);
+  CPPUNIT_TEST(CacheEvictsLastBlocksFirst);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void TextIsRecoveredFromItsFirstToken() {
-    const AnswerText made = AnswerText::ForSeed("prompt", 42);
-    const auto recovered = AnswerText::FromText("prompt", made.Range(0, 3));
+    const AnswerText answer = AnswerText::ForSeed("prompt", 42);
+    const auto recovered = AnswerText::FromText("prompt", answer.Range(0, 3));
     CPPUNIT_ASSERT(recovered.has_value());
-    CPPUNIT_ASSERT(*recovered == made);
-    CPPUNIT_ASSERT(IsAnswerTo("prompt", made.Range(0, 50)));
-    CPPUNIT_ASSERT_EQUAL(made.Range(0, 50),
-                         made.Range(0, 20) + made.Range(20, 50));
+    CPPUNIT_ASSERT(*recovered == answer);
+    CPPUNIT_ASSERT(IsAnswerTo("prompt", answer.Range(0, 50)));
+    CPPUNIT_ASSERT_EQUAL(answer.Range(0, 50),
+                         answer.Range(0, 20) + answer.Range(20, 50));
   }
 
-  void TextOfAnotherPromptIsTold() {
-    const AnswerText made = AnswerText::ForSeed("prompt", 42);
+  void TextOfAnotherPromptIsDetected() {
+    const AnswerText answer = AnswerText::ForSeed("prompt", 42);
     const AnswerText other = AnswerText::ForSeed("prompt", 43);
-    CPPUNIT_ASSERT(!IsAnswerTo("another", made.Range(0, 2)));
-    CPPUNIT_ASSERT(!IsAnswerTo("prompt", made.Range(0, 2) + other.Range(2, 4)));
-    CPPUNIT_ASSERT(!IsAnswerTo("prompt", made.Range(1, 4)));
+    CPPUNIT_ASSERT(!IsAnswerTo("another", answer.Range(0, 2)));
+    CPPUNIT_ASSERT(
+        !IsAnswerTo("prompt", answer.Range(0, 2) + other.Range(2, 4)));
+    CPPUNIT_ASSERT(!IsAnswerTo("prompt", answer.Range(1, 4)));
   }
 
   void LengthIsReadFromPrompt() {
@@ -71,9 +72,9 @@
     EngineSettings settings;
     settings.mRate = 100;
     settings.mBatchCost = 0.1;
-    EngineCore lone(settings, 1);
-    const StreamHandle single = lone.Submit(Request("p", 1000), Millis());
-    Run(lone, 1000);
+    EngineCore singleCore(settings, 1);
+    const StreamHandle single = singleCore.Submit(Request("p", 1000), Millis());
+    Run(singleCore, 1000);
     EngineCore batch(settings, 1);
     StreamHandle shared;
     for (int stream = 0; stream < 10; ++stream) {
@@ -84,7 +85,7 @@
     CPPUNIT_ASSERT(shared->mProduced > 0);
   }
 
-  void UrgentStreamGoesFirst() {
+  void MoreUrgentStreamIsAdmittedFirst() {
     EngineSettings settings;
     settings.mSlots = 1;
     EngineCore core(settings, 1);
@@ -98,7 +99,7 @@
     CPPUNIT_ASSERT(late->mState == StreamState::Waiting);
   }
 
-  void FullQueueRefuses() {
+  void FullQueueRejectsStream() {
     EngineSettings settings;
     settings.mSlots = 1;
     settings.mQueue = 1;
@@ -108,7 +109,7 @@
     CPPUNIT_ASSERT(!core.Submit(Request("p", 5), Millis()));
   }
 
-  void SwapSplitsSpans() {
+  void WeightSwapStartsNewSpan() {
     EngineCore core(EngineSettings(), 1);
     const StreamHandle stream = core.Submit(Request("p", 60), Millis());
     Run(core, 300);
@@ -118,21 +119,21 @@
     const std::vector<VersionSpan> wanted{{1, 0, before}, {2, before, 60}};
     CPPUNIT_ASSERT(stream->mSpans == wanted);
     StreamPart part;
-    CPPUNIT_ASSERT(core.Take(*stream, part));
+    CPPUNIT_ASSERT(core.TakeOutput(*stream, part));
     CPPUNIT_ASSERT_EQUAL(before, part.mEnd);
-    CPPUNIT_ASSERT(core.Take(*stream, part));
+    CPPUNIT_ASSERT(core.TakeOutput(*stream, part));
     CPPUNIT_ASSERT_EQUAL(int64_t{2}, part.mVersion);
-    CPPUNIT_ASSERT(!core.Take(*stream, part));
+    CPPUNIT_ASSERT(!core.TakeOutput(*stream, part));
   }
 
-  void ResumeContinues() {
+  void ResumedStreamStartsAtItsOffset() {
     EngineCore core(EngineSettings(), 1);
     StreamRequest request = Request("p", 60);
     request.mResumeTokens = 25;
     const StreamHandle stream = core.Submit(request, Millis());
     Run(core, 2000);
     StreamPart part;
-    CPPUNIT_ASSERT(core.Take(*stream, part));
+    CPPUNIT_ASSERT(core.TakeOutput(*stream, part));
     CPPUNIT_ASSERT_EQUAL(int64_t{25}, part.mBegin);
     CPPUNIT_ASSERT_EQUAL(int64_t{60}, part.mEnd);
   }
@@ -152,13 +153,13 @@
     CPPUNIT_ASSERT(warm->mCachedTokens >= 900);
   }
 
-  void CacheKeepsFirstBlocksLongest() {
+  void CacheEvictsLastBlocksFirst() {
     PrefixCache cache;
     std::string text;
     for (char letter = 'a'; letter < 'k'; ++letter) {
       text += std::string(64, letter);
     }
-    const std::vector<BlockHash> blocks = BlocksOf(text);
+    const std::vector<BlockHash> blocks = HashBlocks(text);
     CPPUNIT_ASSERT_EQUAL(size_t{10}, blocks.size());
     cache.Store(blocks, 4 * kBlockTokens, Millis());
     CPPUNIT_ASSERT_EQUAL(4 * kBlockTokens, cache.Match(blocks));
--- a/src/standin/engine_journal.cpp
+++ b/src/standin/engine_journal.cpp
@@ -11,7 +11,7 @@
 constexpr size_t kMaxStreams = 100000;
 constexpr size_t kMaxOrders = 10000;
 
-json::object OrderText(const OrderEntry& aEntry) {
+json::object OrderJson(const OrderEntry& aEntry) {
   json::object text;
   text["kind"] = "load";
   text["version"] = aEntry.mVersion;
@@ -21,7 +21,7 @@
   return text;
 }
 
-json::object StreamText(const EngineStream& aStream) {
+json::object StreamJson(const EngineStream& aStream) {
   json::array spans;
   for (const VersionSpan& span : aStream.mSpans) {
     json::object part;
@@ -34,7 +34,7 @@
   text["request_id"] = aStream.mRequest.mRequestId;
   text["text_id"] = aStream.mAnswer.Id();
   text["priority"] = aStream.mRequest.mPriority;
-  text["finish"] = aStream.mEnding.empty() ? "running" : aStream.mEnding;
+  text["finish"] = aStream.mEndReason.empty() ? "running" : aStream.mEndReason;
   text["spans"] = std::move(spans);
   return text;
 }
@@ -49,7 +49,7 @@
 }
 
 void EngineJournal::Add(StreamHandle aStream) {
-  // The journal keeps what checks need; the rest is memory.
+  // The checks do not need the blocks; dropping them saves memory.
   aStream->mBlocks.clear();
   mStreams.push_back(std::move(aStream));
   if (mStreams.size() > kMaxStreams) {
@@ -65,25 +65,25 @@
   return found == mStreams.rend() ? nullptr : *found;
 }
 
-StreamHandle EngineJournal::Earlier() const {
+StreamHandle EngineJournal::LastCompleted() const {
   const auto found = std::find_if(
       mStreams.rbegin(), mStreams.rend(),
-      [](const StreamHandle& aStream) { return aStream->Complete(); });
+      [](const StreamHandle& aStream) { return aStream->IsComplete(); });
   return found == mStreams.rend() ? nullptr : *found;
 }
 
-json::object EngineJournal::Text(
+json::object EngineJournal::ToJson(
     const std::list<StreamHandle>& aRunning) const {
   json::array orders;
   for (const OrderEntry& entry : mOrders) {
-    orders.push_back(OrderText(entry));
+    orders.push_back(OrderJson(entry));
   }
   json::array requests;
   for (const StreamHandle& stream : mStreams) {
-    requests.push_back(StreamText(*stream));
+    requests.push_back(StreamJson(*stream));
   }
   for (const StreamHandle& stream : aRunning) {
-    requests.push_back(StreamText(*stream));
+    requests.push_back(StreamJson(*stream));
   }
   json::object text;
   text["orders"] = std::move(orders);
--- a/src/standin/engine_journal.h
+++ b/src/standin/engine_journal.h
@@ -1,6 +1,7 @@
 /// \file
-/// What an engine stand-in did, for checks: orders, and streams with the
-/// weight versions that produced their tokens.
+/// Journal of an engine stand-in for checks by tests: the weight orders that it
+/// received, and the streams with the weight versions that produced their
+/// tokens.
 
 #pragma once
 
@@ -13,24 +14,26 @@
 
 namespace rillwall::standin {
 
-/// One order as it was met.
+/// A weight order and its outcome.
 struct OrderEntry {
   int64_t mVersion = 0;
-  uint64_t mFence = 0;
+  uint64_t mFence = 0;  ///< fencing token of the order
   bool mAccepted = false;
   std::string mOutcome;  ///< "accepted", "stale-fence", "swapped", ...
 };
 
+/// Keeps the latest orders and ended streams.
 class EngineJournal {
  public:
   void Add(OrderEntry aEntry);
   void Add(StreamHandle aStream);
-  /// \return the latest ended stream with this request id, or nothing
+  /// \return the latest ended stream with this request id, or nullptr
   StreamHandle Find(const std::string& aRequestId) const;
-  /// \return a whole stream that ended earlier, or nothing
-  StreamHandle Earlier() const;
-  /// \param aRunning streams that have not ended
-  boost::json::object Text(const std::list<StreamHandle>& aRunning) const;
+  /// \return the latest stream that ended complete, or nullptr
+  StreamHandle LastCompleted() const;
+  /// \return the journal as JSON
+  /// \param aRunning streams that have not ended, which are listed as well
+  boost::json::object ToJson(const std::list<StreamHandle>& aRunning) const;
 
  private:
   std::deque<OrderEntry> mOrders;
--- a/src/standin/engine_loader.cpp
+++ b/src/standin/engine_loader.cpp
@@ -12,7 +12,7 @@
 constexpr int kPartialContent = 206;
 constexpr int kMaxFailures = 8;
 constexpr Millis kRangeTimeout{30000};
-constexpr Millis kFailurePause{200};
+constexpr Millis kRetryDelay{200};
 constexpr std::string_view kScheme = "http://";
 
 asio::awaitable<Result<int64_t>> ReadRange(HttpClient& aClient,
@@ -43,7 +43,7 @@
                                          int64_t aBytes,
                                          const std::string& aDefaultStore) {
   if (aBytes < 0 || aLocation.empty()) {
-    return Error(ErrorKind::BadRequest, "An order names weights and bytes.");
+    return Error(ErrorKind::BadRequest, "An order needs weights and bytes.");
   }
   std::string location(aLocation);
   if (location.front() == '/') {
@@ -63,12 +63,13 @@
 
 asio::awaitable<Result<void>> ReadWeights(HttpClient& aClient,
                                           WeightSource aSource,
-                                          std::function<bool()> aWanted) {
+                                          std::function<bool()> aIsCurrent) {
   int64_t read = 0;
   int failures = 0;
   while (read < aSource.mBytes) {
-    if (!aWanted()) {
-      co_return Error(ErrorKind::Superseded, "A newer order took over.");
+    if (!aIsCurrent()) {
+      co_return Error(ErrorKind::Superseded,
+                      "A newer order replaced this load.");
     }
     const auto part = co_await ReadRange(aClient, aSource, read);
     if (part.has_value()) {
@@ -79,7 +80,7 @@
     if (++failures == kMaxFailures) {
       co_return part.error();
     }
-    co_await Sleep(kFailurePause);
+    co_await Sleep(kRetryDelay);
   }
   co_return Result<void>();
 }
--- a/src/standin/engine_server.cpp
+++ b/src/standin/engine_server.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Millis kTick{10};
-constexpr Millis kLongestTick{100};
+constexpr Millis kMaxTick{100};
 constexpr Millis kReportInterval{50};
 constexpr Millis kReportHistory{60000};
 constexpr int kNotFound = 404;
@@ -37,8 +37,8 @@
 }
 
 HttpResponse Refusal(const Error& aError) {
-  return ErrorAnswer(ErrorStatus(aError.Kind()), ErrorName(aError.Kind()),
-                     aError.Detail());
+  return MakeErrorResponse(ErrorStatus(aError.Kind()), ErrorName(aError.Kind()),
+                           aError.Detail());
 }
 
 }  // namespace
@@ -59,7 +59,7 @@
 void EngineServer::Start(asio::io_context& aContext) {
   mContext = &aContext;
   mClient = std::make_unique<HttpClient>(aContext);
-  KeepReport(Now());
+  RecordReport(Now());
   asio::co_spawn(aContext, RunBatch(), asio::detached);
 }
 
@@ -67,20 +67,20 @@
   Millis last = Now();
   while (true) {
     co_await Sleep(kTick);
-    co_await mControl.Thawed();
+    co_await mControl.WaitWhileFrozen();
     const Millis now = Now();
-    const Millis span = std::min(now - last, kLongestTick);
+    const Millis span = std::min(now - last, kMaxTick);
     last = now;
-    if (now >= mStalledUntil) {
+    if (now >= mDecodingPausedUntil) {
       mCore.Tick(now, span, mSpeed.Value());
     }
-    if (now - mReports.back().mAt >= kReportInterval) {
-      KeepReport(now);
+    if (now - mReportSnapshots.back().mAt >= kReportInterval) {
+      RecordReport(now);
     }
   }
 }
 
-void EngineServer::KeepReport(Millis aNow) {
+void EngineServer::RecordReport(Millis aNow) {
   const EngineTotals totals = mCore.Totals(aNow);
   json::object report;
   report["running"] = totals.mRunning;
@@ -94,20 +94,21 @@
   report["kv_used"] = totals.mMemoryUsed;
   report["kv_total"] = mCore.Settings().mCacheTokens;
   report["queue_ms"] = totals.mQueueAge.Count();
-  mReports.push_back({aNow, json::serialize(report)});
-  while (aNow - mReports.front().mAt > kReportHistory) {
-    mReports.pop_front();
+  mReportSnapshots.push_back({aNow, json::serialize(report)});
+  while (aNow - mReportSnapshots.front().mAt > kReportHistory) {
+    mReportSnapshots.pop_front();
   }
 }
 
-std::string EngineServer::LaggedReport(Millis aNow) const {
-  const Millis wanted = aNow - mLoadLag.Span();
-  for (auto report = mReports.rbegin(); report != mReports.rend(); ++report) {
+std::string EngineServer::DelayedReport(Millis aNow) const {
+  const Millis wanted = aNow - mLoadLag.Duration();
+  for (auto report = mReportSnapshots.rbegin();
+       report != mReportSnapshots.rend(); ++report) {
     if (report->mAt <= wanted) {
       return report->mText;
     }
   }
-  return mReports.front().mText;
+  return mReportSnapshots.front().mText;
 }
 
 asio::awaitable<void> EngineServer::Handle(const HttpRequest& aRequest,
@@ -115,27 +116,28 @@
   const std::string_view path = aRequest.Path();
   const bool post = aRequest.mMethod == "POST";
   if (post && path == "/v1/completions") {
-    co_await Complete(aRequest, aExchange);
+    co_await HandleCompletion(aRequest, aExchange);
   } else if (post && path == "/orders") {
-    co_await Order(aRequest, aExchange);
+    co_await HandleOrder(aRequest, aExchange);
   } else if (post && path == "/kv/export") {
     co_await aExchange.Respond(Export(aRequest));
   } else if (post && path == "/kv/import") {
     co_await aExchange.Respond(Import(aRequest));
   } else if (path == "/load") {
-    co_await aExchange.Respond(HttpResponse::Json(200, LaggedReport(Now())));
+    co_await aExchange.Respond(HttpResponse::Json(200, DelayedReport(Now())));
   } else if (path == "/events") {
     co_await aExchange.Respond(Events(aRequest));
   } else if (path == "/journal") {
-    co_await aExchange.Respond(JsonAnswer(200, mJournal.Text(mCore.Streams())));
-  } else {
     co_await aExchange.Respond(
-        ErrorAnswer(kNotFound, "not-found", "An engine has no such path."));
+        MakeJsonResponse(200, mJournal.ToJson(mCore.Streams())));
+  } else {
+    co_await aExchange.Respond(MakeErrorResponse(
+        kNotFound, "not-found", "The engine does not serve this path."));
   }
 }
 
-asio::awaitable<void> EngineServer::Order(const HttpRequest& aRequest,
-                                          HttpExchange& aExchange) {
+asio::awaitable<void> EngineServer::HandleOrder(const HttpRequest& aRequest,
+                                                HttpExchange& aExchange) {
   const auto body = ParseObject(aRequest.mBody);
   if (!body.has_value()) {
     co_await aExchange.Respond(Refusal(body.error()));
@@ -145,8 +147,8 @@
                                           NumberOf(body.value(), "bytes"),
                                           mOptions.mWeightStore);
   if (TextOf(body.value(), "kind") != "load" || !source.has_value()) {
-    co_await aExchange.Respond(ErrorAnswer(
-        400, "bad-request", "An order is of kind load and names weights."));
+    co_await aExchange.Respond(MakeErrorResponse(
+        400, "bad-request", "An order needs kind load, weights and bytes."));
     co_return;
   }
   OrderEntry order;
@@ -160,7 +162,7 @@
     error["fence"] = mFence;
     json::object answer;
     answer["error"] = std::move(error);
-    co_await aExchange.Respond(JsonAnswer(kConflict, answer));
+    co_await aExchange.Respond(MakeJsonResponse(kConflict, answer));
     co_return;
   }
   mFence = order.mFence;
@@ -169,47 +171,48 @@
   mJournal.Add(order);
   if (order.mVersion != mLoading && order.mVersion != mCore.Version()) {
     mLoading = order.mVersion;
-    ++mLoad;
+    ++mLoadNumber;
     asio::co_spawn(*mContext, Load(order, source.value()), asio::detached);
   }
   json::object answer;
   answer["accepted"] = true;
-  co_await aExchange.Respond(JsonAnswer(200, answer));
+  co_await aExchange.Respond(MakeJsonResponse(200, answer));
 }
 
 asio::awaitable<void> EngineServer::Load(OrderEntry aOrder,
                                          WeightSource aSource) {
-  const uint64_t load = mLoad;
-  const auto wanted = [this, load] { return load == mLoad; };
-  const auto read = co_await ReadWeights(*mClient, std::move(aSource), wanted);
-  co_await mControl.Thawed();
-  if (!wanted()) {
+  const uint64_t load = mLoadNumber;
+  const auto isCurrent = [this, load] { return load == mLoadNumber; };
+  const auto read =
+      co_await ReadWeights(*mClient, std::move(aSource), isCurrent);
+  co_await mControl.WaitWhileFrozen();
+  if (!isCurrent()) {
     aOrder.mOutcome = "superseded";
     mJournal.Add(std::move(aOrder));
     co_return;
   }
   if (!read.has_value()) {
-    EndLoad(std::move(aOrder), "read-failed");
+    FinishLoad(std::move(aOrder), "read-failed");
     co_return;
   }
-  mStalledUntil = Now() + Millis(mOptions.mSwapMillis);
+  mDecodingPausedUntil = Now() + Millis(mOptions.mSwapMillis);
   co_await Sleep(Millis(mOptions.mSwapMillis));
-  if (!wanted()) {
+  if (!isCurrent()) {
     co_return;
   }
-  if (mSwapFails.Take()) {
-    EndLoad(std::move(aOrder), "swap-failed");
+  if (mSwapFails.Consume()) {
+    FinishLoad(std::move(aOrder), "swap-failed");
     co_return;
   }
   mCore.Swap(aOrder.mVersion, Now());
-  EndLoad(std::move(aOrder), "swapped");
+  FinishLoad(std::move(aOrder), "swapped");
 }
 
-void EngineServer::EndLoad(OrderEntry aOrder, std::string aOutcome) {
+void EngineServer::FinishLoad(OrderEntry aOrder, std::string aOutcome) {
   mLoading = 0;
   aOrder.mOutcome = std::move(aOutcome);
   mJournal.Add(std::move(aOrder));
-  KeepReport(Now());
+  RecordReport(Now());
 }
 
 StreamHandle EngineServer::FindStream(const std::string& aRequestId) const {
@@ -227,15 +230,16 @@
       body.has_value() ? FindStream(TextOf(body.value(), "request_id"))
                        : nullptr;
   if (!stream) {
-    return ErrorAnswer(kNotFound, "not-found", "No such request_id here.");
+    return MakeErrorResponse(kNotFound, "not-found",
+                             "This engine has no stream with this request_id.");
   }
   std::string blob;
-  for (const BlockHash block : BlocksOf(stream->mRequest.mPrompt)) {
+  for (const BlockHash block : HashBlocks(stream->mRequest.mPrompt)) {
     blob += (blob.empty() ? "" : ",") + PrefixText(block);
   }
   json::object answer;
   answer["blob"] = blob;
-  return JsonAnswer(200, answer);
+  return MakeJsonResponse(200, answer);
 }
 
 HttpResponse EngineServer::Import(const HttpRequest& aRequest) {
@@ -246,7 +250,7 @@
   json::object answer;
   answer["prefix_tokens"] =
       mCore.Import(ParseBlocks(TextOf(body.value(), "blob")), Now());
-  return JsonAnswer(200, answer);
+  return MakeJsonResponse(200, answer);
 }
 
 HttpResponse EngineServer::Events(const HttpRequest& aRequest) const {
@@ -266,7 +270,7 @@
   json::object answer;
   answer["next"] = next;
   answer["events"] = std::move(events);
-  return JsonAnswer(200, answer);
+  return MakeJsonResponse(200, answer);
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/engine_server.h
+++ b/src/standin/engine_server.h
@@ -1,5 +1,6 @@
 /// \file
-/// The engine stand-in's HTTP side: completions, load, orders, cache.
+/// HTTP server of the engine stand-in: completions, load reports, weight orders
+/// and the prefix cache.
 
 #pragma once
 
@@ -15,53 +16,59 @@
 
 namespace rillwall::standin {
 
-/// What one engine process is told at its start.
+/// Command-line options of an engine.
 struct EngineOptions {
   ServeOptions mServe;
   EngineSettings mSettings;
   std::string mModel = "letters";
   std::string mZone;
-  std::string mWeightStore;  ///< for orders that name a path only
-  int64_t mVersion = 1;
-  int64_t mChunkMillis = 50;  ///< between the chunks of a stream
-  int64_t mSwapMillis = 100;  ///< a swap stops decoding that long
-  int64_t mLoadLagMillis = 200;
-  int64_t mEventLagMillis = 500;
+  std::string mWeightStore;      ///< "ip:port" for orders that give only a path
+  int64_t mVersion = 1;          ///< initial weight version
+  int64_t mChunkMillis = 50;     ///< interval between the chunks of a stream
+  int64_t mSwapMillis = 100;     ///< pause of decoding during a weight swap
+  int64_t mLoadLagMillis = 200;  ///< age of the reports of /load
+  int64_t mEventLagMillis = 500;  ///< delay of events in /events
 };
 
-/// Serves on one thread; no locks between two waits.
+/// Serves the engine on one thread. No locks are needed between two suspension
+/// points.
 class EngineServer {
  public:
   EngineServer(const EngineOptions& aOptions, Control& aControl);
 
+  /// Handles one HTTP request.
   asio::awaitable<void> Handle(const HttpRequest& aRequest,
                                HttpExchange& aExchange);
-  /// Starts the batch.
+  /// Starts the coroutine that advances the batch.
   void Start(asio::io_context& aContext);
 
  private:
-  struct Report {
+  /// The body of /load as of one instant.
+  struct ReportSnapshot {
     Millis mAt;
     std::string mText;
   };
 
   asio::awaitable<void> RunBatch();
-  void KeepReport(Millis aNow);
-  std::string LaggedReport(Millis aNow) const;
+  void RecordReport(Millis aNow);
+  std::string DelayedReport(Millis aNow) const;
 
-  asio::awaitable<void> Complete(const HttpRequest& aRequest,
-                                 HttpExchange& aExchange);
+  asio::awaitable<void> HandleCompletion(const HttpRequest& aRequest,
+                                         HttpExchange& aExchange);
   Result<StreamRequest> ParseCompletion(const HttpRequest& aRequest);
   asio::awaitable<void> Stream(StreamHandle aStream, HttpExchange& aExchange);
-  /// \return chunks ready now, and how many tokens they hold
-  std::string ReadyChunks(EngineStream& aStream, const EngineStream& aShown,
-                          int64_t& aTokens);
-  void EndStream(const StreamHandle& aStream, std::string aEnding);
+  /// \param aTextSource stream whose text and id are sent; aStream itself
+  /// unless the fault "cross" is injected
+  /// \param aTokens increased by the number of tokens in the chunks
+  /// \return the events for all tokens produced since the last call
+  std::string ReadyChunks(EngineStream& aStream,
+                          const EngineStream& aTextSource, int64_t& aTokens);
+  void EndStream(const StreamHandle& aStream, std::string aEndReason);
 
-  asio::awaitable<void> Order(const HttpRequest& aRequest,
-                              HttpExchange& aExchange);
+  asio::awaitable<void> HandleOrder(const HttpRequest& aRequest,
+                                    HttpExchange& aExchange);
   asio::awaitable<void> Load(OrderEntry aOrder, WeightSource aSource);
-  void EndLoad(OrderEntry aOrder, std::string aOutcome);
+  void FinishLoad(OrderEntry aOrder, std::string aOutcome);
 
   HttpResponse Export(const HttpRequest& aRequest) const;
   HttpResponse Import(const HttpRequest& aRequest);
@@ -81,12 +88,13 @@
   EngineJournal mJournal;
   asio::io_context* mContext = nullptr;
   std::unique_ptr<HttpClient> mClient;
-  std::deque<Report> mReports;
-  uint64_t mFence = 0;
+  std::deque<ReportSnapshot> mReportSnapshots;
+  uint64_t mFence = 0;   ///< highest fencing token accepted
   int64_t mLoading = 0;  ///< version being loaded; 0: none
-  uint64_t mLoad = 0;    ///< number of the load; a newer one ends an older
-  Millis mStalledUntil;  ///< decoding stops for a swap
-  uint64_t mAnonymous = 0;
+  uint64_t mLoadNumber =
+      0;  ///< a load ends once this number is no longer its own
+  Millis mDecodingPausedUntil;  ///< decoding pauses for a weight swap
+  uint64_t mGeneratedIds = 0;   ///< ids given to requests without request_id
 };
 
 }  // namespace rillwall::standin
--- a/src/standin/engine_stream.cpp
+++ b/src/standin/engine_stream.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The engine stand-in's streamed completions.
+/// Streamed completions of the engine stand-in.
 
 #include <algorithm>
 
@@ -14,9 +14,10 @@
 constexpr int64_t kLowestPriority = 9;
 constexpr int kUnavailable = 503;
 constexpr Millis kFirstTokenPoll{10};
-constexpr Millis kCrossDelay{1000};
+constexpr Millis kCrossedStreamDelay{1000};
 
-/// A seed is read whole; a double would round large ones.
+/// \return the seed as an integer; reading it as a double would round large
+/// seeds
 int64_t SeedOf(const json::object& aBody) {
   const json::value* seed = aBody.if_contains("seed");
   if (seed && seed->is_int64()) {
@@ -40,15 +41,18 @@
   return choice;
 }
 
-/// \param aShown whose text and id are sent: the stream itself unless crossed
-std::string ChunkText(const std::string& aModel, const EngineStream& aShown,
+/// \param aTextSource stream whose text and id are sent; aStream itself unless
+/// the fault "cross" is injected
+/// \return the server-sent event for a part of a stream
+std::string ChunkText(const std::string& aModel,
+                      const EngineStream& aTextSource,
                       const EngineStream& aStream, const StreamPart& aPart) {
-  const bool last = aPart.mEnd >= aStream.mWholeLength;
+  const bool last = aPart.mEnd >= aStream.mTotalTokens;
   json::object chunk;
-  chunk["id"] = aShown.mRequest.mRequestId;
+  chunk["id"] = aTextSource.mRequest.mRequestId;
   chunk["model"] = aModel;
   chunk["choices"] =
-      json::array{Choice(aShown.mAnswer.Range(aPart.mBegin, aPart.mEnd),
+      json::array{Choice(aTextSource.mAnswer.Range(aPart.mBegin, aPart.mEnd),
                          last ? aStream.Finish() : nullptr)};
   chunk["weight_version"] = aPart.mVersion;
   chunk["tokens"] = aPart.mEnd - aPart.mBegin;
@@ -74,7 +78,8 @@
   const json::object& body = parsed.value();
   const json::value* stream = body.if_contains("stream");
   if (!stream || !stream->is_bool() || !stream->get_bool()) {
-    return Error(ErrorKind::BadRequest, "Only streamed completions are made.");
+    return Error(ErrorKind::BadRequest,
+                 "Only streamed completions are supported; set stream.");
   }
   if (TextOf(body, "model") != mOptions.mModel) {
     return Error(ErrorKind::NotFound, "This engine serves another model.");
@@ -82,7 +87,7 @@
   StreamRequest request;
   request.mRequestId = TextOf(body, "request_id");
   if (request.mRequestId.empty()) {
-    request.mRequestId = "cmpl-" + std::to_string(++mAnonymous);
+    request.mRequestId = "cmpl-" + std::to_string(++mGeneratedIds);
   }
   request.mPrompt = TextOf(body, "prompt");
   request.mSeed = SeedOf(body);
@@ -95,18 +100,19 @@
     return Error(ErrorKind::BadRequest, "Token counts must be positive.");
   }
   if (NumberOf(body, "min_version") > mCore.Version()) {
-    return Error(ErrorKind::UpstreamRefused, "The weights are older.");
+    return Error(ErrorKind::UpstreamRefused,
+                 "The weights are older than min_version.");
   }
   return request;
 }
 
-asio::awaitable<void> EngineServer::Complete(const HttpRequest& aRequest,
-                                             HttpExchange& aExchange) {
+asio::awaitable<void> EngineServer::HandleCompletion(
+    const HttpRequest& aRequest, HttpExchange& aExchange) {
   auto request = ParseCompletion(aRequest);
   if (!request.has_value()) {
     const bool old = request.error().Kind() == ErrorKind::UpstreamRefused;
     const int status = old ? kUnavailable : ErrorStatus(request.error().Kind());
-    co_await aExchange.Respond(ErrorAnswer(
+    co_await aExchange.Respond(MakeErrorResponse(
         status, old ? "old-version" : "bad-request", request.error().Detail()));
     co_return;
   }
@@ -115,45 +121,48 @@
     stream = mCore.Submit(std::move(request.value()), Now());
   }
   if (!stream) {
-    co_await aExchange.Respond(
-        ErrorAnswer(kUnavailable, "full",
-                    mLeaving.On() ? "Leaving; nothing was run."
-                                  : "The queue is full; nothing was run."));
+    co_await aExchange.Respond(MakeErrorResponse(
+        kUnavailable, "full",
+        mLeaving.On() ? "The engine is leaving; nothing was run."
+                      : "The queue is full; nothing was run."));
     co_return;
   }
   co_await Stream(std::move(stream), aExchange);
 }
 
 std::string EngineServer::ReadyChunks(EngineStream& aStream,
-                                      const EngineStream& aShown,
+                                      const EngineStream& aTextSource,
                                       int64_t& aTokens) {
   std::string chunks;
   StreamPart part;
-  while (mCore.Take(aStream, part)) {
-    chunks += ChunkText(mOptions.mModel, aShown, aStream, part);
+  while (mCore.TakeOutput(aStream, part)) {
+    chunks += ChunkText(mOptions.mModel, aTextSource, aStream, part);
     aTokens += part.mEnd - part.mBegin;
   }
-  // A stream that was resumed at its very end still states how it finished.
-  if (aStream.Complete() && aStream.mSpans.empty()) {
-    const int64_t end = aStream.mWholeLength;
-    chunks += ChunkText(mOptions.mModel, aShown, aStream,
+  // A stream that was resumed at its end produces no token, but must still
+  // report its finish reason.
+  if (aStream.IsComplete() && aStream.mSpans.empty()) {
+    const int64_t end = aStream.mTotalTokens;
+    chunks += ChunkText(mOptions.mModel, aTextSource, aStream,
                         {mCore.Version(), end, end});
   }
   return chunks;
 }
 
-void EngineServer::EndStream(const StreamHandle& aStream, std::string aEnding) {
-  mCore.End(aStream, std::move(aEnding));
+void EngineServer::EndStream(const StreamHandle& aStream,
+                             std::string aEndReason) {
+  mCore.End(aStream, std::move(aEndReason));
   mJournal.Add(aStream);
 }
 
 asio::awaitable<void> EngineServer::Stream(StreamHandle aStream,
                                            HttpExchange& aExchange) {
-  const StreamHandle earlier = mCross.Take() ? mJournal.Earlier() : nullptr;
-  if (earlier) {
-    co_await Sleep(kCrossDelay);
+  const StreamHandle completed =
+      mCross.Consume() ? mJournal.LastCompleted() : nullptr;
+  if (completed) {
+    co_await Sleep(kCrossedStreamDelay);
   }
-  const EngineStream& shown = earlier ? *earlier : *aStream;
+  const EngineStream& textSource = completed ? *completed : *aStream;
   if (co_await aExchange.Begin(StreamHead())) {
     EndStream(aStream, "cancelled");
     co_return;
@@ -170,7 +179,7 @@
     if (aStream->mState != StreamState::Decode) {
       continue;
     }
-    const std::string chunks = ReadyChunks(*aStream, shown, sent);
+    const std::string chunks = ReadyChunks(*aStream, textSource, sent);
     if (!chunks.empty() && co_await aExchange.Write(chunks)) {
       EndStream(aStream, "cancelled");
       co_return;
@@ -179,11 +188,11 @@
       EndStream(aStream, "cut");
       co_return;
     }
-    if (aStream->Complete()) {
+    if (aStream->IsComplete()) {
       break;
     }
   }
-  EndStream(aStream, earlier ? "crossed" : aStream->Finish());
+  EndStream(aStream, completed ? "crossed" : aStream->Finish());
   if (!co_await aExchange.Write(SseData(kSseDone))) {
     co_await aExchange.End();
   }
--- a/src/standin/engine_text.cpp
+++ b/src/standin/engine_text.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-constexpr std::string_view kLengthMark = "[len=";
-constexpr int64_t kShortestDefault = 40;
-constexpr int64_t kDefaultSpread = 120;
+constexpr std::string_view kLengthTag = "[len=";
+constexpr int64_t kMinDefaultTokens = 40;
+constexpr int64_t kDefaultTokenRange = 120;
 constexpr int kHexBase = 16;
-/// The finaliser of MurmurHash3, a bijection, and its inverse's factors.
+/// Multipliers of the MurmurHash3 finalizer, which is a bijection, and of its
+/// inverse.
 constexpr uint32_t kMixFirst = 0x85ebca6b;
 constexpr uint32_t kMixSecond = 0xc2b2ae35;
 constexpr uint32_t kUnmixFirst = 0xa5cb9243;
@@ -116,22 +117,22 @@
 }
 
 std::string WithLength(std::string_view aPrompt, int64_t aTokens) {
-  return std::string(aPrompt) + " " + std::string(kLengthMark) +
+  return std::string(aPrompt) + " " + std::string(kLengthTag) +
          std::to_string(aTokens) + "]";
 }
 
 int64_t AnswerLength(std::string_view aPrompt) {
-  const size_t mark = aPrompt.rfind(kLengthMark);
+  const size_t mark = aPrompt.rfind(kLengthTag);
   int64_t length = 0;
   if (mark != std::string_view::npos) {
-    const char* begin = aPrompt.data() + mark + kLengthMark.size();
+    const char* begin = aPrompt.data() + mark + kLengthTag.size();
     std::from_chars(begin, aPrompt.data() + aPrompt.size(), length);
   }
   if (length > 0) {
     return length;
   }
-  return kShortestDefault +
-         static_cast<int64_t>(HashPrompt(aPrompt) % kDefaultSpread);
+  return kMinDefaultTokens +
+         static_cast<int64_t>(HashPrompt(aPrompt) % kDefaultTokenRange);
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/engine_text.h
+++ b/src/standin/engine_text.h
@@ -1,11 +1,13 @@
 /// \file
-/// The text that engine stand-ins generate, and how receivers check it.
+/// Generates the answers of the engine stand-ins and verifies them at the
+/// receiver.
 ///
-/// An answer is a function of (prompt, seed, token index) alone, the same on
-/// every engine, so that a resumed stream continues exactly. Each token is
-/// "w", eight hex digits and a space. The first token is a one-to-one image of
-/// the seed, so a receiver that knows the prompt can recover the answer's key
-/// from the text and check every following token without knowing the seed.
+/// An answer depends only on the prompt, the seed and the token index. It is
+/// the same on every engine, so a stream that is resumed elsewhere continues
+/// exactly. Each token is "w", eight hex digits and a space. The first token is
+/// a bijective function of the key, which is derived from the seed. A receiver
+/// that knows the prompt can therefore recover the key from the first token and
+/// check every following token without knowing the seed.
 
 #pragma once
 
@@ -18,21 +20,21 @@
 
 /// Bytes of one generated token.
 inline constexpr size_t kTokenBytes = 10;
-/// Bytes of a prompt that count as one token.
+/// Bytes of a prompt per token.
 inline constexpr size_t kPromptBytesPerToken = 4;
 
-/// One answer's text, whole or in parts.
+/// The text of one answer, which can be generated from any token on.
 class AnswerText {
  public:
   static AnswerText ForSeed(std::string_view aPrompt, int64_t aSeed);
-  /// Recovers the key from an answer's first token.
-  /// \return nothing if the text is empty or was not generated
+  /// Recovers the key from the first token of an answer.
+  /// \return nothing if the text does not begin with a generated token
   static std::optional<AnswerText> FromText(std::string_view aPrompt,
                                             std::string_view aText);
 
-  /// \return tokens [aBegin, aEnd)
+  /// \return the text of the tokens [aBegin, aEnd)
   std::string Range(int64_t aBegin, int64_t aEnd) const;
-  /// \return prompt and key as hex digits, equal for equal texts
+  /// \return prompt hash and key as hex digits; equal answers have equal ids
   std::string Id() const;
   bool operator==(const AnswerText&) const = default;
 
@@ -45,17 +47,20 @@
   uint32_t mKey;
 };
 
-/// \return tokens in a generated text, or -1 if its size is not a whole number
+/// \return the number of tokens in a generated text, or -1 if its size is not a
+/// multiple of kTokenBytes
 int64_t CountTokens(std::string_view aText);
-/// \return whether the text is one answer to the prompt, from its first token
+/// \return whether the text is an answer to the prompt, or the beginning of one
 bool IsAnswerTo(std::string_view aPrompt, std::string_view aText);
-/// \return the prompt's hash as hex digits: the first part of AnswerText::Id()
+/// \return the hash of the prompt as hex digits: the first part of
+/// AnswerText::Id()
 std::string PromptId(std::string_view aPrompt);
 
-/// \return the prompt with its true answer length stated as "[len=N]"
+/// \return the prompt followed by its answer length as "[len=N]"
+/// \param aTokens answer length in tokens
 std::string WithLength(std::string_view aPrompt, int64_t aTokens);
-/// \return the true answer length: the last "[len=N]" of the prompt, or a
-/// value that follows from the prompt
+/// \return the answer length in tokens: the last "[len=N]" of the prompt, or a
+/// value derived from the hash of the prompt
 int64_t AnswerLength(std::string_view aPrompt);
 
 }  // namespace rillwall::standin
--- a/src/standin/hosts.cpp
+++ b/src/standin/hosts.cpp
@@ -1,36 +1,39 @@
 /// \file
-/// The platform's list of live and leaving hosts, shown late.
+/// Stand-in of the host list of the platform: live and leaving hosts, shown
+/// with a configurable lag.
 
 #include <deque>
 
+#include "commands.h"
 #include "control_serve.h"
-#include "verbs.h"
 
 namespace rillwall::standin {
 
 namespace {
 
 constexpr char kListPath[] = "/hosts";
-constexpr char kLeave[] = "/leave";
+constexpr char kLeaveSuffix[] = "/leave";
 
-/// The list as it stood from one instant on.
+/// The list as of one change.
 struct Snapshot {
   Millis mSince;
   std::string mTag;
   json::array mHosts;
 };
 
+/// The list and its history. Single-threaded.
 class HostList {
  public:
-  /// \param aTagBase differs between processes, so that a tag is never reused
+  /// \param aTagBase prefix of the entity tags; it differs between processes so
+  /// that no tag is reused
   explicit HostList(std::string aTagBase) : mTagBase(std::move(aTagBase)) {
     Replace({});
   }
-  /// Makes these the hosts from now on.
+  /// Replaces all hosts.
   void Replace(json::array aHosts);
-  /// \return the hosts as they truly are
-  const json::array& Newest() const { return mSnapshots.back().mHosts; }
-  /// \return the list as seen with this lag
+  /// \return the hosts without lag
+  const json::array& Current() const { return mSnapshots.back().mHosts; }
+  /// \return the list as of aLag ago
   const Snapshot& Visible(Millis aLag) const;
 
  private:
@@ -40,19 +43,20 @@
 };
 
 void HostList::Replace(json::array aHosts) {
-  constexpr size_t kKept = 1000;
+  constexpr size_t kMaxSnapshots = 1000;
   std::string tag = "\"" + mTagBase + "-" + std::to_string(mChanges++) + "\"";
   mSnapshots.push_back({Now(), std::move(tag), std::move(aHosts)});
-  if (mSnapshots.size() > kKept) {
+  if (mSnapshots.size() > kMaxSnapshots) {
     mSnapshots.pop_front();
   }
 }
 
 const Snapshot& HostList::Visible(Millis aLag) const {
   const Millis instant = Now() - aLag;
-  for (auto each = mSnapshots.rbegin(); each != mSnapshots.rend(); ++each) {
-    if (each->mSince <= instant) {
-      return *each;
+  for (auto snapshot = mSnapshots.rbegin(); snapshot != mSnapshots.rend();
+       ++snapshot) {
+    if (snapshot->mSince <= instant) {
+      return *snapshot;
     }
   }
   return mSnapshots.front();
@@ -67,7 +71,7 @@
   return TextOf(aHost.get_object(), "id") == aId;
 }
 
-json::array Without(const json::array& aHosts, std::string_view aId) {
+json::array WithoutHost(const json::array& aHosts, std::string_view aId) {
   json::array left;
   for (const json::value& host : aHosts) {
     if (!HasId(host, aId)) {
@@ -117,20 +121,21 @@
   }
   const std::string prefix = std::string(kListPath) + "/";
   if (!path.starts_with(prefix)) {
-    return ErrorAnswer(404, "not-found", "Known: /hosts, /hosts/{id}.");
+    return MakeErrorResponse(404, "not-found",
+                             "Unknown path; use /hosts or /hosts/{id}.");
   }
   path.remove_prefix(prefix.size());
   return ChangeOne(aRequest, path);
 }
 
 HttpResponse HostsService::Show(const HttpRequest& aRequest) const {
-  const Snapshot& visible = mList.Visible(mLag.Span());
+  const Snapshot& visible = mList.Visible(mLag.Duration());
   const std::string* known = aRequest.Find("If-None-Match");
   HttpResponse answer;
   if (known && *known == visible.mTag) {
     answer.mStatus = 304;
   } else {
-    answer = JsonAnswer(200, json::object{{"hosts", visible.mHosts}});
+    answer = MakeJsonResponse(200, json::object{{"hosts", visible.mHosts}});
   }
   answer.mHeaders.push_back({"ETag", visible.mTag});
   return answer;
@@ -141,15 +146,16 @@
   const json::value* hosts =
       body.has_value() ? body.value().if_contains("hosts") : nullptr;
   if (!hosts || !hosts->is_array()) {
-    return ErrorAnswer(400, "bad-request", "Send {\"hosts\":[...]}.");
+    return MakeErrorResponse(400, "bad-request", "Send {\"hosts\":[...]}.");
   }
   for (const json::value& host : hosts->get_array()) {
     if (!IsHost(host)) {
-      return ErrorAnswer(400, "bad-request", "A host needs id and address.");
+      return MakeErrorResponse(400, "bad-request",
+                               "Each host needs id and address.");
     }
   }
   mList.Replace(hosts->get_array());
-  return JsonAnswer(200, json::object{{"hosts", mList.Newest()}});
+  return MakeJsonResponse(200, json::object{{"hosts", mList.Current()}});
 }
 
 HttpResponse HostsService::ChangeOne(const HttpRequest& aRequest,
@@ -160,54 +166,58 @@
   if (aRequest.mMethod == "DELETE") {
     return Remove(aId);
   }
-  if (aRequest.mMethod == "POST" && aId.ends_with(kLeave)) {
-    aId.remove_suffix(sizeof(kLeave) - 1);
+  if (aRequest.mMethod == "POST" && aId.ends_with(kLeaveSuffix)) {
+    aId.remove_suffix(sizeof(kLeaveSuffix) - 1);
     return Leave(aId);
   }
-  return ErrorAnswer(405, "bad-request", "PUT, DELETE or POST {id}/leave.");
+  return MakeErrorResponse(405, "bad-request",
+                           "Use PUT, DELETE or POST {id}/leave.");
 }
 
 HttpResponse HostsService::PutOne(const HttpRequest& aRequest,
                                   std::string_view aId) {
   const Result<json::object> host = ParseObject(aRequest.mBody);
   if (!host.has_value() || !IsHost(host.value()) || !HasId(host.value(), aId)) {
-    return ErrorAnswer(400, "bad-request",
-                       "Send the host with the id of the path and address.");
+    return MakeErrorResponse(
+        400, "bad-request",
+        "Send a host with address and with the id of the path.");
   }
-  json::array hosts = Without(mList.Newest(), aId);
+  json::array hosts = WithoutHost(mList.Current(), aId);
   hosts.push_back(host.value());
   mList.Replace(std::move(hosts));
-  return JsonAnswer(200, json::object{{"hosts", mList.Newest()}});
+  return MakeJsonResponse(200, json::object{{"hosts", mList.Current()}});
 }
 
 HttpResponse HostsService::Leave(std::string_view aId) {
-  json::array hosts = mList.Newest();
+  json::array hosts = mList.Current();
   for (json::value& host : hosts) {
     if (HasId(host, aId)) {
       host.get_object()["leaving"] = true;
       mList.Replace(std::move(hosts));
-      return JsonAnswer(200, json::object{{"id", aId}, {"leaving", true}});
+      return MakeJsonResponse(200,
+                              json::object{{"id", aId}, {"leaving", true}});
     }
   }
-  return ErrorAnswer(404, "not-found", "No such host.");
+  return MakeErrorResponse(404, "not-found", "No such host.");
 }
 
 HttpResponse HostsService::Remove(std::string_view aId) {
-  json::array left = Without(mList.Newest(), aId);
-  if (left.size() == mList.Newest().size()) {
-    return ErrorAnswer(404, "not-found", "No such host.");
+  json::array left = WithoutHost(mList.Current(), aId);
+  if (left.size() == mList.Current().size()) {
+    return MakeErrorResponse(404, "not-found", "No such host.");
   }
   mList.Replace(std::move(left));
-  return JsonAnswer(200, json::object{{"id", aId}});
+  return MakeJsonResponse(200, json::object{{"id", aId}});
 }
 
 }  // namespace
 
-void AddHostsVerb(CLI::App& aApp) {
-  CLI::App* verb = aApp.add_subcommand("hosts", "The lagging list of hosts");
+void AddHostsCommand(CLI::App& aApp) {
+  CLI::App* command =
+      aApp.add_subcommand("hosts", "Host list, shown with a lag");
   auto options = std::make_shared<ServeOptions>();
-  AddServeOptions(*verb, *options);
-  verb->callback([options] { HostsService().Run(*options); });
+  AddServeOptions(*command, *options);
+  command->callback([options] { HostsService().Run(*options); });
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/input_lines.cpp
+++ b/src/standin/input_lines.cpp
@@ -21,12 +21,12 @@
     if (line.mPrompt.empty() || line.mTokens < 1) {
       return Error(ErrorKind::BadRequest,
                    aPath + " line " + std::to_string(lines.size() + 1) +
-                       " is not {\"prompt\",\"tokens\"}.");
+                       " is not {\"prompt\":TEXT,\"tokens\":NUMBER}.");
     }
     lines.push_back(std::move(line));
   }
   if (lines.empty()) {
-    return Error(ErrorKind::BadRequest, aPath + " holds no prompts.");
+    return Error(ErrorKind::BadRequest, aPath + " contains no prompts.");
   }
   return lines;
 }
--- a/src/standin/input_lines.h
+++ b/src/standin/input_lines.h
@@ -1,5 +1,6 @@
 /// \file
-/// Prompts with the true lengths of their answers, one JSON object a line.
+/// Reads prompts and the lengths of their answers from a file with one JSON
+/// object per line.
 
 #pragma once
 
@@ -11,18 +12,18 @@
 
 namespace rillwall::standin {
 
-/// One prompt and how many tokens its answer has.
+/// A prompt and the length of its answer in tokens.
 struct InputLine {
   std::string mPrompt;
   int64_t mTokens = 0;
   bool operator==(const InputLine&) const = default;
 };
 
-/// Reads lines of {"prompt","tokens"}.
-/// \return at least one line, or BadRequest naming the faulty line
+/// Reads lines of the form {"prompt":TEXT,"tokens":NUMBER}.
+/// \return at least one line, or BadRequest with the number of the invalid line
 Result<std::vector<InputLine>> ReadInputs(const std::string& aPath);
 
-/// \return the prompt made unlike any other by aMark, with its true length
+/// \return the prompt with its answer length, made unique by aMark
 std::string MarkedPrompt(const InputLine& aLine, const std::string& aMark);
 
 }  // namespace rillwall::standin
--- a/src/standin/kv.cpp
+++ b/src/standin/kv.cpp
@@ -1,15 +1,16 @@
 /// \file
-/// The key-value service: etcd v3's JSON calls over a KvStore.
+/// Stand-in of the key-value service: the JSON gateway calls of etcd v3 on a
+/// KvStore.
 
 #include <array>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 
+#include "commands.h"
 #include "control_serve.h"
 #include "kv_calls.h"
 #include "kv_codec.h"
 #include "kv_store.h"
-#include "verbs.h"
 
 namespace rillwall::standin {
 
@@ -17,10 +18,10 @@
 
 constexpr char kCallsPath[] = "/calls";
 constexpr char kWatchPath[] = "/v3/watch";
-constexpr Millis kTick{20};
+constexpr Millis kPollInterval{20};
 constexpr size_t kHistory = 10000;
-constexpr int64_t kPerSecond = 1000;
-// gRPC's codes, as the gateway shows them in the body.
+constexpr int64_t kMillisPerSecond = 1000;
+// gRPC status codes, which the gateway puts into the body.
 constexpr int kInvalidArgument = 3;
 constexpr int kNotFound = 5;
 constexpr int kFailedPrecondition = 9;
@@ -31,7 +32,7 @@
   answer["error"] = "etcdserver: " + aMessage;
   answer["code"] = aCode;
   answer["message"] = "etcdserver: " + aMessage;
-  return JsonAnswer(aStatus, answer);
+  return MakeJsonResponse(aStatus, answer);
 }
 
 HttpResponse Failure(const Error& aError) {
@@ -45,9 +46,11 @@
   }
 }
 
+/// Serves the calls, watches and leases, and injects outages, lost responses
+/// and rate limits.
 class KvService {
  public:
-  /// \param aHistory how many changes are kept for watches
+  /// \param aHistory number of changes kept for watches
   explicit KvService(size_t aHistory) : mStore(aHistory) {}
   void Run(const ServeOptions& aOptions);
 
@@ -64,14 +67,14 @@
                                HttpExchange& aExchange);
   static const Route* FindRoute(std::string_view aPath);
   HttpResponse Call(const Route& aRoute, const HttpRequest& aRequest);
-  HttpResponse Other(std::string_view aPath) const;
+  HttpResponse HandleOther(std::string_view aPath) const;
   asio::awaitable<void> Watch(const HttpRequest& aRequest,
                               HttpExchange& aExchange);
-  /// Streams changes until the peer goes or an outage comes.
+  /// Streams changes until the peer disconnects or an outage begins.
   asio::awaitable<void> Follow(const WatchRequest& aWatch,
                                HttpExchange& aExchange);
   asio::awaitable<void> ExpireLeases();
-  bool OverRate(CallKind aKind) const;
+  bool ExceedsRate(CallKind aKind) const;
 
   HttpResponse RunOp(StoreOpKind aKind, const json::object& aBody);
   HttpResponse Range(const json::object& aBody);
@@ -114,7 +117,7 @@
 
 asio::awaitable<void> KvService::ExpireLeases() {
   while (true) {
-    co_await Sleep(kTick);
+    co_await Sleep(kPollInterval);
     mStore.Expire(Now());
   }
 }
@@ -132,7 +135,7 @@
                                         HttpExchange& aExchange) {
   const std::string_view path = aRequest.Path();
   if (path != kCallsPath && mOutage.On()) {
-    aExchange.Cut();  // nothing is done
+    aExchange.Cut();  // the request has no effect
     co_return;
   }
   if (path == kWatchPath) {
@@ -140,22 +143,22 @@
     co_return;
   }
   const Route* const route = FindRoute(path);
-  HttpResponse answer = route ? Call(*route, aRequest) : Other(path);
+  HttpResponse answer = route ? Call(*route, aRequest) : HandleOther(path);
   const bool written =
       route && route->mKind == CallKind::Write && answer.mStatus == 200;
-  if (written && mAnswerLost.Take()) {
-    aExchange.Cut();  // the write took effect; the writer cannot know
+  if (written && mAnswerLost.Consume()) {
+    aExchange.Cut();  // the write took effect, but the caller cannot know
     co_return;
   }
   co_await aExchange.Respond(std::move(answer));
 }
 
-HttpResponse KvService::Other(std::string_view aPath) const {
-  return aPath == kCallsPath ? JsonAnswer(200, mCalls.Write())
+HttpResponse KvService::HandleOther(std::string_view aPath) const {
+  return aPath == kCallsPath ? MakeJsonResponse(200, mCalls.ToJson())
                              : Failure(404, kNotFound, "no such call");
 }
 
-bool KvService::OverRate(CallKind aKind) const {
+bool KvService::ExceedsRate(CallKind aKind) const {
   const Fault& rate = aKind == CallKind::Read ? mReadRate : mWriteRate;
   return rate.On() && mCalls.ThisSecond(aKind, Now()) >= rate.Count();
 }
@@ -165,8 +168,8 @@
   if (!body.has_value()) {
     return Failure(body.error());
   }
-  if (OverRate(aRoute.mKind)) {
-    mCalls.CountRefused();
+  if (ExceedsRate(aRoute.mKind)) {
+    mCalls.CountRateLimited();
     return Failure(429, kResourceExhausted, "too many requests");
   }
   mCalls.Count(aRoute.mName, aRoute.mKind, Now());
@@ -182,7 +185,7 @@
     co_return;
   }
   mCalls.Count("watch", CallKind::Watch, Now());
-  mCalls.WatchBegan();
+  mCalls.WatchStarted();
   co_await Follow(watch.value(), aExchange);
   mCalls.WatchEnded();
 }
@@ -195,7 +198,7 @@
   int64_t next = aWatch.mFrom > 0 ? aWatch.mFrom : mStore.Revision() + 1;
   while (!gone && !mOutage.On() && !aExchange.PeerGone()) {
     if (!line.empty()) {
-      co_await mControl.Slowed();
+      co_await mControl.DelayIfSlowed();
       gone = co_await aExchange.Write(std::move(line));
     }
     if (next < mStore.CompactRevision()) {
@@ -208,7 +211,7 @@
     next = std::max(next, mStore.Revision() + 1);
     if (events.empty()) {
       line.clear();
-      co_await Sleep(kTick);
+      co_await Sleep(kPollInterval);
     } else {
       line = WriteEvents(events, mStore.Revision());
     }
@@ -227,7 +230,7 @@
   if (!result.has_value()) {
     return Failure(result.error());
   }
-  return JsonAnswer(
+  return MakeJsonResponse(
       200, WriteOpResult(result.value().mResults.front(), mStore.Revision()));
 }
 
@@ -252,13 +255,14 @@
   if (!result.has_value()) {
     return Failure(result.error());
   }
-  return JsonAnswer(200, WriteTxnResult(result.value(), mStore.Revision()));
+  return MakeJsonResponse(200,
+                          WriteTxnResult(result.value(), mStore.Revision()));
 }
 
 HttpResponse KvService::Grant(const json::object& aBody) {
   const int64_t seconds = NumberOf(aBody, "TTL");
-  const Result<int64_t> id =
-      mStore.Grant(NumberOf(aBody, "ID"), Millis(seconds * kPerSecond), Now());
+  const Result<int64_t> id = mStore.Grant(
+      NumberOf(aBody, "ID"), Millis(seconds * kMillisPerSecond), Now());
   if (!id.has_value()) {
     return Failure(id.error());
   }
@@ -266,7 +270,7 @@
   answer["header"] = WriteHeader(mStore.Revision());
   answer["ID"] = std::to_string(id.value());
   answer["TTL"] = std::to_string(seconds);
-  return JsonAnswer(200, answer);
+  return MakeJsonResponse(200, answer);
 }
 
 HttpResponse KvService::Revoke(const json::object& aBody) {
@@ -275,32 +279,33 @@
   }
   json::object answer;
   answer["header"] = WriteHeader(mStore.Revision());
-  return JsonAnswer(200, answer);
+  return MakeJsonResponse(200, answer);
 }
 
 HttpResponse KvService::KeepAlive(const json::object& aBody) {
   const int64_t id = NumberOf(aBody, "ID");
-  const Millis life = mStore.KeepAlive(id, Now());
+  const Millis ttl = mStore.KeepAlive(id, Now());
   json::object result;
   result["header"] = WriteHeader(mStore.Revision());
   result["ID"] = std::to_string(id);
-  if (life > Millis()) {
-    result["TTL"] = std::to_string(life.Count() / kPerSecond);
+  if (ttl > Millis()) {
+    result["TTL"] = std::to_string(ttl.Count() / kMillisPerSecond);
   }
   json::object answer;
   answer["result"] = std::move(result);
-  return JsonAnswer(200, answer);
+  return MakeJsonResponse(200, answer);
 }
 
 }  // namespace
 
-void AddKvVerb(CLI::App& aApp) {
-  CLI::App* verb = aApp.add_subcommand("kv", "The key-value service");
+void AddKvCommand(CLI::App& aApp) {
+  CLI::App* command = aApp.add_subcommand("kv", "The key-value service");
   auto options = std::make_shared<ServeOptions>();
-  AddServeOptions(*verb, *options);
+  AddServeOptions(*command, *options);
   auto history = std::make_shared<size_t>(kHistory);
-  verb->add_option("--history", *history, "Changes kept for watches");
-  verb->callback([options, history] { KvService(*history).Run(*options); });
+  command->add_option("--history", *history,
+                      "Number of changes kept for watches");
+  command->callback([options, history] { KvService(*history).Run(*options); });
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/kv_calls.cpp
+++ b/src/standin/kv_calls.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr size_t kSecondsKept = 3600;
-constexpr int64_t kPerSecond = 1000;
+constexpr size_t kMaxSeconds = 3600;
+constexpr int64_t kMillisPerSecond = 1000;
 
 int64_t SecondOf(Millis aStart, Millis aNow) {
-  return (aNow - aStart).Count() / kPerSecond;
+  return (aNow - aStart).Count() / kMillisPerSecond;
 }
 
 }  // namespace
@@ -32,7 +32,7 @@
   if (mSeconds.empty() || mSeconds.back().mSecond != second) {
     mSeconds.push_back(CallSecond{second});
   }
-  if (mSeconds.size() > kSecondsKept) {
+  if (mSeconds.size() > kMaxSeconds) {
     mSeconds.pop_front();
   }
   ++(mSeconds.back().*Field(aKind));
@@ -44,7 +44,7 @@
   return now ? mSeconds.back().*Field(aKind) : 0;
 }
 
-json::object KvCalls::Write() const {
+json::object KvCalls::ToJson() const {
   json::object totals;
   for (const auto& [name, count] : mTotals) {
     totals[name] = count;
--- a/src/standin/kv_calls.h
+++ b/src/standin/kv_calls.h
@@ -1,6 +1,6 @@
 /// \file
-/// Counts of the calls that the key-value stand-in took, as the platform
-/// counts them: by kind and per second, a waiting watch as one call.
+/// Counts the calls to the key-value stand-in as the platform does: by kind and
+/// per second, with an open watch as one call.
 
 #pragma once
 
@@ -13,29 +13,33 @@
 
 namespace rillwall::standin {
 
-/// Calls within one second since the start.
+/// Number of calls by kind within one second.
 struct CallSecond {
-  int64_t mSecond = 0;
+  int64_t mSecond = 0;  ///< seconds since the start
   int64_t mReads = 0;
   int64_t mWrites = 0;
   int64_t mWatches = 0;
 };
 
+/// Kind of call, as rate limits and counts distinguish them.
 enum class CallKind { Read, Write, Watch };
 
+/// Call counts since the start. Single-threaded.
 class KvCalls {
  public:
   explicit KvCalls(Millis aStart) : mStart(aStart) {}
-  /// \param aName the call's name in the counts
+  /// Counts a call.
+  /// \param aName name of the call in the totals
   void Count(const std::string& aName, CallKind aKind, Millis aNow);
-  /// A call was refused for its rate; it is in no second's count.
-  void CountRefused() { ++mTotals["over_rate"]; }
-  /// \return calls of this kind within the present second
+  /// Counts a call that exceeded the rate limit, in the totals only.
+  void CountRateLimited() { ++mTotals["over_rate"]; }
+  /// \return the number of calls of a kind within the current second
   int64_t ThisSecond(CallKind aKind, Millis aNow) const;
-  /// A watch began or ended to wait.
-  void WatchBegan() { ++mOpenWatches; }
+  /// Records that a watch was opened or closed.
+  void WatchStarted() { ++mOpenWatches; }
   void WatchEnded() { --mOpenWatches; }
-  json::object Write() const;
+  /// \return totals, open watches, peaks and counts by second
+  json::object ToJson() const;
 
  private:
   static int64_t CallSecond::*Field(CallKind aKind);
--- a/src/standin/kv_store.cpp
+++ b/src/standin/kv_store.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const std::string kAllFrom(1, '\0');
+const std::string kToEnd(1, '\0');
 
 template <class Value>
 bool Compare(CompareResult aResult, const Value& aLeft, const Value& aRight) {
@@ -39,10 +39,10 @@
   if (mEnd.empty()) {
     return aKey == mBegin;
   }
-  return aKey >= mBegin && (mEnd == kAllFrom || aKey < mEnd);
+  return aKey >= mBegin && (mEnd == kToEnd || aKey < mEnd);
 }
 
-bool KvStore::Holds(const StoreCompare& aCompare) const {
+bool KvStore::Matches(const StoreCompare& aCompare) const {
   const auto found = mEntries.find(aCompare.mKey);
   const bool present = found != mEntries.end();
   if (aCompare.mTarget == CompareTarget::Value) {
@@ -78,9 +78,9 @@
 
 Result<StoreTxnResult> KvStore::Run(const StoreTxn& aTxn) {
   StoreTxnResult result;
-  result.mSucceeded =
-      std::all_of(aTxn.mCompare.begin(), aTxn.mCompare.end(),
-                  [this](const StoreCompare& aEach) { return Holds(aEach); });
+  result.mSucceeded = std::all_of(
+      aTxn.mCompare.begin(), aTxn.mCompare.end(),
+      [this](const StoreCompare& aCompare) { return Matches(aCompare); });
   const std::vector<StoreOp>& ops =
       result.mSucceeded ? aTxn.mSuccess : aTxn.mFailure;
   const Result<void> checked = Check(ops);
@@ -139,8 +139,8 @@
 }
 
 int64_t KvStore::Delete(const KeyInterval& aKeys, int64_t aRevision) {
-  const std::vector<StoredEntry> doomed = Select(aKeys);
-  for (const StoredEntry& entry : doomed) {
+  const std::vector<StoredEntry> deleted = Select(aKeys);
+  for (const StoredEntry& entry : deleted) {
     Detach(entry);
     mEntries.erase(entry.mKey);
     mRevision = aRevision;
@@ -150,7 +150,7 @@
     event.mEntry.mModRevision = aRevision;
     Record(std::move(event));
   }
-  return static_cast<int64_t>(doomed.size());
+  return static_cast<int64_t>(deleted.size());
 }
 
 void KvStore::Detach(const StoredEntry& aEntry) {
@@ -183,8 +183,8 @@
   return events;
 }
 
-Result<int64_t> KvStore::Grant(int64_t aId, Millis aLife, Millis aNow) {
-  if (aLife <= Millis()) {
+Result<int64_t> KvStore::Grant(int64_t aId, Millis aTtl, Millis aNow) {
+  if (aTtl <= Millis()) {
     return Error(ErrorKind::BadRequest, "TTL must be positive");
   }
   if (mLeases.contains(aId)) {
@@ -193,7 +193,7 @@
   while (aId == 0 || mLeases.contains(aId)) {
     aId = mNextLease++;
   }
-  mLeases[aId] = Lease{aLife, aNow + aLife, {}};
+  mLeases[aId] = Lease{aTtl, aNow + aTtl, {}};
   return aId;
 }
 
@@ -216,21 +216,21 @@
   if (found == mLeases.end()) {
     return Millis();
   }
-  found->second.mEnd = aNow + found->second.mLife;
-  return found->second.mLife;
+  found->second.mEnd = aNow + found->second.mTtl;
+  return found->second.mTtl;
 }
 
 bool KvStore::Expire(Millis aNow) {
-  std::vector<int64_t> lapsed;
+  std::vector<int64_t> expired;
   for (const auto& [id, lease] : mLeases) {
     if (lease.mEnd <= aNow) {
-      lapsed.push_back(id);
+      expired.push_back(id);
     }
   }
-  for (const int64_t id : lapsed) {
+  for (const int64_t id : expired) {
     Revoke(id);
   }
-  return !lapsed.empty();
+  return !expired.empty();
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/kv_store.h
+++ b/src/standin/kv_store.h
@@ -1,8 +1,9 @@
 /// \file
-/// The key-value stand-in's contents: keys, revisions, leases and history.
+/// Data model of the key-value stand-in: keys, revisions, leases and history,
+/// with the semantics of etcd.
 ///
-/// Pure: it is given the time and holds no socket. All operations of one
-/// transaction take place at one revision, as in etcd.
+/// The store does no I/O and reads no clock; callers pass the time. All
+/// operations of one transaction take place at one revision.
 
 #pragma once
 
@@ -18,9 +19,10 @@
 
 namespace rillwall::standin {
 
-/// Largest value taken, in bytes.
+/// Maximum size of a value in bytes.
 constexpr size_t kMaxValueBytes = 1000 * 1000;
 
+/// A key with its value and revisions.
 struct StoredEntry {
   std::string mKey;
   std::string mValue;
@@ -31,8 +33,8 @@
   bool operator==(const StoredEntry&) const = default;
 };
 
-/// Keys [mBegin, mEnd). An empty mEnd stands for mBegin alone, one zero byte
-/// for all keys from mBegin on.
+/// The keys [mBegin, mEnd). If mEnd is empty, mBegin only; if mEnd is a single
+/// zero byte, all keys from mBegin on.
 struct KeyInterval {
   std::string mBegin;
   std::string mEnd;
@@ -45,20 +47,24 @@
 /// One operation of a transaction.
 struct StoreOp {
   StoreOpKind mKind = StoreOpKind::Range;
-  KeyInterval mKeys;   ///< for Put only mBegin counts
+  KeyInterval mKeys;   ///< for Put, only mBegin is used
   std::string mValue;  ///< for Put
-  int64_t mLease = 0;  ///< for Put; 0: none
+  int64_t mLease = 0;  ///< for Put; 0: no lease
 };
 
+/// Result of one operation.
 struct StoreOpResult {
   StoreOpKind mKind = StoreOpKind::Range;
   std::vector<StoredEntry> mEntries;  ///< for Range
-  int64_t mDeleted = 0;               ///< for Delete
+  int64_t mDeleted = 0;               ///< for Delete: number of keys deleted
 };
 
+/// The property of a key that a comparison reads.
 enum class CompareTarget { Version, Create, Mod, Value };
+/// The relation that a comparison requires.
 enum class CompareResult { Equal, Greater, Less, NotEqual };
 
+/// A condition of a transaction.
 struct StoreCompare {
   std::string mKey;
   CompareTarget mTarget = CompareTarget::Version;
@@ -67,57 +73,66 @@
   std::string mValue;
 };
 
+/// A transaction: mSuccess runs if all conditions hold, else mFailure.
 struct StoreTxn {
   std::vector<StoreCompare> mCompare;
   std::vector<StoreOp> mSuccess;
   std::vector<StoreOp> mFailure;
 };
 
+/// Result of a transaction, with one result per operation that ran.
 struct StoreTxnResult {
   bool mSucceeded = false;
   std::vector<StoreOpResult> mResults;
 };
 
-/// One change in the history.
+/// A change in the history.
 struct StoreEvent {
   bool mDeleted = false;
-  StoredEntry mEntry;  ///< for a deletion only key and mod revision
+  StoredEntry mEntry;  ///< for a deletion, only key and mod revision
 };
 
+/// The key-value store. Single-threaded.
 class KvStore {
  public:
-  /// \param aHistory how many changes are kept for watches
+  /// \param aHistory number of changes kept for watches
   explicit KvStore(size_t aHistory) : mHistoryLimit(aHistory) {}
 
   int64_t Revision() const { return mRevision; }
-  /// \return the oldest revision from which a watch can still start
+  /// \return the oldest revision from which a watch can start
   int64_t CompactRevision() const { return mCompacted + 1; }
 
-  /// \return the results in order; BadRequest or TooLarge and nothing is done
+  /// Runs a transaction.
+  /// \return the results in order; or BadRequest, TooLarge or NotFound (of a
+  /// lease), and the store is unchanged
   Result<StoreTxnResult> Run(const StoreTxn& aTxn);
-  /// Changes of a revision or later to these keys, oldest first.
+  /// \return the changes to these keys at aRevision or later, oldest first
   std::vector<StoreEvent> Since(int64_t aRevision,
                                 const KeyInterval& aKeys) const;
 
-  /// \param aId wanted; 0 lets the store choose
-  /// \return the lease's id; Conflict if it exists
-  Result<int64_t> Grant(int64_t aId, Millis aLife, Millis aNow);
-  /// Ends a lease and deletes its keys.
+  /// Grants a lease.
+  /// \param aId requested id; 0 lets the store choose one
+  /// \param aTtl time to live after the grant and after each keep-alive
+  /// \return the id of the lease; BadRequest if aTtl is not positive; Conflict
+  /// if the id exists
+  Result<int64_t> Grant(int64_t aId, Millis aTtl, Millis aNow);
+  /// Revokes a lease and deletes its keys.
   /// \return whether it existed
   bool Revoke(int64_t aId);
-  /// \return the lease's whole life; 0 if it has lapsed
+  /// Renews a lease.
+  /// \return its time to live; 0 if it has expired
   Millis KeepAlive(int64_t aId, Millis aNow);
-  /// Ends the leases whose time is over.
-  /// \return whether any did
+  /// Revokes the expired leases.
+  /// \return whether there were any
   bool Expire(Millis aNow);
 
  private:
   struct Lease {
-    Millis mLife;
+    Millis mTtl;
     Millis mEnd;
     std::set<std::string> mKeys;
   };
-  bool Holds(const StoreCompare& aCompare) const;
+  bool Matches(const StoreCompare& aCompare) const;
   Result<void> Check(const std::vector<StoreOp>& aOps) const;
   StoreOpResult Apply(const StoreOp& aOp, int64_t aRevision);
   std::vector<StoredEntry> Select(const KeyInterval& aKeys) const;
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -1,21 +1,21 @@
 /// \file
-/// Entry of the stand-ins: one verb a process.
+/// Entry point of the stand-ins; each process runs one subcommand.
 
 #include <CLI/CLI.hpp>
 
-#include "verbs.h"
+#include "commands.h"
 
 int main(int aCount, char** aArgs) {
   CLI::App app{"Stand-ins for the systems around rillwall", "rillwall_standin"};
   app.require_subcommand(1);
-  rillwall::standin::AddEngineVerb(app);
-  rillwall::standin::AddTrainerVerb(app);
-  rillwall::standin::AddCallersVerb(app);
-  rillwall::standin::AddKvVerb(app);
-  rillwall::standin::AddHostsVerb(app);
-  rillwall::standin::AddWeightsVerb(app);
-  rillwall::standin::AddScorerVerb(app);
-  rillwall::standin::AddServiceVerb(app);
+  rillwall::standin::AddEngineCommand(app);
+  rillwall::standin::AddTrainerCommand(app);
+  rillwall::standin::AddCallersCommand(app);
+  rillwall::standin::AddKvCommand(app);
+  rillwall::standin::AddHostsCommand(app);
+  rillwall::standin::AddWeightsCommand(app);
+  rillwall::standin::AddScorerCommand(app);
+  rillwall::standin::AddServiceCommand(app);
   CLI11_PARSE(app, aCount, aArgs);
   return 0;
 }
--- a/src/standin/scorer.cpp
+++ b/src/standin/scorer.cpp
@@ -1,25 +1,27 @@
 /// \file
-/// A service that scores rollouts, always the same for the same text.
+/// Stand-in of a service that scores rollouts. The score depends only on the
+/// prompt and the text.
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
+#include "commands.h"
 #include "control_serve.h"
-#include "verbs.h"
 
 namespace rillwall::standin {
 
 namespace {
 
-constexpr uint64_t kSteps = 10000;
+constexpr uint64_t kScoreSteps = 10000;
 
-/// \return from 0 up to, but not including, 1
+/// \return a score in [0, 1)
 double ScoreOf(const std::string& aPrompt, const std::string& aText) {
   const uint64_t seed = XXH3_64bits(aPrompt.data(), aPrompt.size());
   const uint64_t hash = XXH3_64bits_withSeed(aText.data(), aText.size(), seed);
-  return static_cast<double>(hash % kSteps) / kSteps;
+  return static_cast<double>(hash % kScoreSteps) / kScoreSteps;
 }
 
+/// Serves /score, and /stats with the number of scored texts.
 class Scorer {
  public:
   void Run(const ServeOptions& aOptions) {
@@ -38,17 +40,17 @@
 
   HttpResponse Answer(const HttpRequest& aRequest) {
     if (aRequest.Path() == "/stats") {
-      return JsonAnswer(200, json::object{{"scored", mScored}});
+      return MakeJsonResponse(200, json::object{{"scored", mScored}});
     }
     const Result<json::object> body = ParseObject(aRequest.mBody);
     if (aRequest.Path() != "/score" || !body.has_value()) {
-      return ErrorAnswer(400, "bad-request",
-                         "POST /score {\"prompt\",\"text\"}.");
+      return MakeErrorResponse(400, "bad-request",
+                               "POST /score {\"prompt\",\"text\"}.");
     }
     ++mScored;
     const double score =
         ScoreOf(TextOf(body.value(), "prompt"), TextOf(body.value(), "text"));
-    return JsonAnswer(200, json::object{{"score", score}});
+    return MakeJsonResponse(200, json::object{{"score", score}});
   }
 
   Control mControl{{"/stats"}};
@@ -57,11 +59,12 @@
 
 }  // namespace
 
-void AddScorerVerb(CLI::App& aApp) {
-  CLI::App* verb = aApp.add_subcommand("scorer", "Scores rollouts");
+void AddScorerCommand(CLI::App& aApp) {
+  CLI::App* command =
+      aApp.add_subcommand("scorer", "Service that scores rollouts");
   auto options = std::make_shared<ServeOptions>();
-  AddServeOptions(*verb, *options);
-  verb->callback([options] { Scorer().Run(*options); });
+  AddServeOptions(*command, *options);
+  command->callback([options] { Scorer().Run(*options); });
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/service.cpp
+++ b/src/standin/service.cpp
@@ -1,9 +1,9 @@
 /// \file
-/// A plain service with calls that may not be repeated, and a journal of
-/// exactly what was run.
+/// Stand-in of a service with non-idempotent calls, and a journal of the calls
+/// that ran.
 
+#include "commands.h"
 #include "control_serve.h"
-#include "verbs.h"
 
 namespace rillwall::standin {
 
@@ -13,13 +13,14 @@
 constexpr char kStatsPath[] = "/stats";
 constexpr char kLoadPath[] = "/load";
 
-/// One run of a charge.
+/// A charge that ran.
 struct ChargeRun {
-  std::string mKey;  ///< the Idempotency-Key it came with
+  std::string mKey;  ///< Idempotency-Key of the request
   std::string mAccount;
   int64_t mAmount = 0;
 };
 
+/// Serves charges and status reads. Single-threaded.
 class PlainService {
  public:
   void Run(const ServeOptions& aOptions);
@@ -27,9 +28,10 @@
  private:
   asio::awaitable<void> Handle(const HttpRequest& aRequest,
                                HttpExchange& aExchange);
-  /// What a test or the platform reads; no request of a caller.
-  using Report = HttpResponse (PlainService::*)() const;
-  static Report FindReport(std::string_view aPath);
+  /// Handlers of paths that tests or the platform read. These requests are not
+  /// counted.
+  using ReportHandler = HttpResponse (PlainService::*)() const;
+  static ReportHandler FindReportHandler(std::string_view aPath);
   asio::awaitable<void> Delay();
   HttpResponse Work(const HttpRequest& aRequest);
   HttpResponse Charge(const HttpRequest& aRequest);
@@ -56,10 +58,10 @@
 
 asio::awaitable<void> PlainService::Handle(const HttpRequest& aRequest,
                                            HttpExchange& aExchange) {
-  const auto report = FindReport(aRequest.Path());
+  const auto reportHandler = FindReportHandler(aRequest.Path());
   HttpResponse answer;
-  if (report) {
-    answer = (this->*report)();
+  if (reportHandler) {
+    answer = (this->*reportHandler)();
   } else {
     ++mRequests;
     ++mRunning;
@@ -73,12 +75,13 @@
 
 asio::awaitable<void> PlainService::Delay() {
   if (mLate.On()) {
-    co_await Sleep(mLate.Span());
-    co_await mControl.Thawed();
+    co_await Sleep(mLate.Duration());
+    co_await mControl.WaitWhileFrozen();
   }
 }
 
-PlainService::Report PlainService::FindReport(std::string_view aPath) {
+PlainService::ReportHandler PlainService::FindReportHandler(
+    std::string_view aPath) {
   if (aPath == kJournalPath) {
     return &PlainService::Journal;
   }
@@ -94,33 +97,38 @@
     return Charge(aRequest);
   }
   if (path.starts_with("/status/")) {
-    return JsonAnswer(200, json::object{{"path", path}, {"status", "open"}});
+    return MakeJsonResponse(200,
+                            json::object{{"path", path}, {"status", "open"}});
   }
-  return ErrorAnswer(404, "not-found",
-                     "Known: POST /charges, GET /status/{x}, /journal.");
+  return MakeErrorResponse(
+      404, "not-found",
+      "Unknown path; use POST /charges, GET /status/{x} or "
+      "GET /journal.");
 }
 
 HttpResponse PlainService::Charge(const HttpRequest& aRequest) {
   const Result<json::object> body = ParseObject(aRequest.mBody);
   if (!body.has_value() || TextOf(body.value(), "account").empty()) {
-    return ErrorAnswer(400, "bad-request", "Send {\"account\",\"amount\"}.");
+    return MakeErrorResponse(400, "bad-request",
+                             "Send {\"account\",\"amount\"}.");
   }
   const std::string* key = aRequest.Find("Idempotency-Key");
   mRuns.push_back({key ? *key : "", TextOf(body.value(), "account"),
                    NumberOf(body.value(), "amount")});
-  if (mFailAfterRun.Take()) {
-    return ErrorAnswer(500, "failed", "Failed on command, after the run.");
+  if (mFailAfterRun.Consume()) {
+    return MakeErrorResponse(500, "failed",
+                             "Failed by the injected fault, after the run.");
   }
-  return JsonAnswer(
+  return MakeJsonResponse(
       201, json::object{{"id", "charge-" + std::to_string(mRuns.size())},
                         {"account", mRuns.back().mAccount},
                         {"amount", mRuns.back().mAmount}});
 }
 
 HttpResponse PlainService::Load() const {
-  return JsonAnswer(200, json::object{{"running", mRunning},
-                                      {"waiting", 0},
-                                      {"leaving", mLeaving.On()}});
+  return MakeJsonResponse(200, json::object{{"running", mRunning},
+                                            {"waiting", 0},
+                                            {"leaving", mLeaving.On()}});
 }
 
 HttpResponse PlainService::Journal() const {
@@ -132,23 +140,24 @@
                                 {"amount", run.mAmount},
                                 {"n", ++number}});
   }
-  return JsonAnswer(200, json::object{{"runs", std::move(runs)}});
+  return MakeJsonResponse(200, json::object{{"runs", std::move(runs)}});
 }
 
 HttpResponse PlainService::Stats() const {
   const Millis since = mRequests > 0 ? Now() - mLastRequest : Millis(-1);
-  return JsonAnswer(200, json::object{{"requests", mRequests},
-                                      {"running", mRunning},
-                                      {"since_last_ms", since.Count()}});
+  return MakeJsonResponse(200, json::object{{"requests", mRequests},
+                                            {"running", mRunning},
+                                            {"since_last_ms", since.Count()}});
 }
 
 }  // namespace
 
-void AddServiceVerb(CLI::App& aApp) {
-  CLI::App* verb = aApp.add_subcommand("service", "A plain service");
+void AddServiceCommand(CLI::App& aApp) {
+  CLI::App* command = aApp.add_subcommand(
+      "service", "Service with non-idempotent calls and a journal");
   auto options = std::make_shared<ServeOptions>();
-  AddServeOptions(*verb, *options);
-  verb->callback([options] { PlainService().Run(*options); });
+  AddServeOptions(*command, *options);
+  command->callback([options] { PlainService().Run(*options); });
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/trainer_truth.cpp
+++ b/src/standin/trainer_labels.cpp
@@ -1,4 +1,4 @@
-#include "trainer_truth.h"
+#include "trainer_labels.h"
 
 #include <algorithm>
 
@@ -6,7 +6,8 @@
 
 namespace {
 
-bool IsTrue(const EngineJournals& aJournals, const SampleLabel& aLabel) {
+bool MatchesJournals(const EngineJournals& aJournals,
+                     const SampleLabel& aLabel) {
   const auto found = aJournals.mProduced.find(aLabel.mTextId);
   if (found == aJournals.mProduced.end()) {
     return false;
@@ -18,13 +19,13 @@
 
 }  // namespace
 
-TruthCounts CompareLabels(const EngineJournals& aJournals,
+LabelCounts CompareLabels(const EngineJournals& aJournals,
                           const std::vector<SampleLabel>& aLabels,
                           uint64_t aRestarts) {
-  TruthCounts counts;
-  counts.mJournalsLost = aJournals.mLost + aRestarts;
+  LabelCounts counts;
+  counts.mJournalsLost = aJournals.mUnreadable + aRestarts;
   for (const SampleLabel& label : aLabels) {
-    if (IsTrue(aJournals, label)) {
+    if (MatchesJournals(aJournals, label)) {
       ++counts.mTrue;
     } else if (counts.mJournalsLost > 0) {
       ++counts.mUnknown;
--- a/src/standin/trainer_log.cpp
+++ b/src/standin/trainer_log.cpp
@@ -15,7 +15,7 @@
 
 constexpr int kFileMode = 0644;
 
-json::array SpansText(const std::vector<VersionSpan>& aLabel) {
+json::array SpansJson(const std::vector<VersionSpan>& aLabel) {
   json::array spans;
   for (const VersionSpan& span : aLabel) {
     spans.push_back(json::array{span.mVersion, span.mBegin, span.mEnd});
@@ -34,7 +34,7 @@
   return spans;
 }
 
-json::object RecordText(const AnswerRecord& aRecord) {
+json::object RecordJson(const PullRecord& aRecord) {
   json::array faults;
   for (const auto& [fault, count] : aRecord.mFaults) {
     faults.push_back(json::array{static_cast<int>(fault), count});
@@ -45,7 +45,7 @@
   }
   json::array labels;
   for (const SampleLabel& label : aRecord.mLabels) {
-    labels.push_back(json::array{label.mTextId, SpansText(label.mLabel)});
+    labels.push_back(json::array{label.mTextId, SpansJson(label.mLabel)});
   }
   json::object text;
   text["step"] = aRecord.mStep;
@@ -57,8 +57,8 @@
   return text;
 }
 
-AnswerRecord ParseRecord(const json::object& aText) {
-  AnswerRecord record;
+PullRecord ParseRecord(const json::object& aText) {
+  PullRecord record;
   record.mStep = aText.at("step").to_number<uint64_t>();
   record.mReceipt = TextOf(aText, "receipt");
   record.mGroups = json::value_to<std::vector<size_t>>(aText.at("groups"));
@@ -79,18 +79,18 @@
 
 void Replay(const json::object& aLine, TrainerProgress& aProgress) {
   if (aLine.contains("version")) {
-    aProgress.mNewest = NumberOf(aLine, "version");
+    aProgress.mNewestVersion = NumberOf(aLine, "version");
   } else if (aLine.contains("trained")) {
     const auto step = static_cast<uint64_t>(NumberOf(aLine, "trained"));
     aProgress.mSteps[step].mTrained = true;
   } else if (aLine.contains("receipt")) {
-    aProgress.Take(ParseRecord(aLine));
+    aProgress.Apply(ParseRecord(aLine));
   }
 }
 
 }  // namespace
 
-void TrainerProgress::Take(const AnswerRecord& aRecord) {
+void TrainerProgress::Apply(const PullRecord& aRecord) {
   StepProgress& step = mSteps[aRecord.mStep];
   step.mReceipt = aRecord.mReceipt;
   step.mGroups.insert(aRecord.mGroups.begin(), aRecord.mGroups.end());
@@ -127,7 +127,7 @@
   if (mFile < 0) {
     return Error(ErrorKind::BadRequest, aPath + " cannot be written.");
   }
-  // Ends a line that was left half written.
+  // Terminates a line that an earlier process left truncated.
   if (::write(mFile, "\n", 1) != 1) {
     return Error(ErrorKind::BadRequest, aPath + " cannot be written.");
   }
@@ -141,7 +141,8 @@
   const std::string text = json::serialize(aLine) + "\n";
   const ssize_t written = ::write(mFile, text.data(), text.size());
   if (written != static_cast<ssize_t>(text.size())) {
-    // Going on would lose what was received; the next trainer starts clean.
+    // Continuing would act on groups that the log does not contain. The next
+    // process continues from the last complete line.
     std::cerr << "trainer: the state file cannot be written\n";
     std::_Exit(1);
   }
@@ -153,8 +154,8 @@
   Write(line);
 }
 
-void TrainerLog::WriteAnswer(const AnswerRecord& aRecord) {
-  Write(RecordText(aRecord));
+void TrainerLog::WritePull(const PullRecord& aRecord) {
+  Write(RecordJson(aRecord));
 }
 
 void TrainerLog::WriteTrained(uint64_t aStep) {
--- a/src/standin/trainer_result.cpp
+++ b/src/standin/trainer_result.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-json::object FaultsText(const FaultCounts& aFaults, uint64_t& aTotal) {
+json::object FaultsJson(const FaultCounts& aFaults, uint64_t& aTotal) {
   json::object text;
   for (int kind = 0; kind < static_cast<int>(SampleFault::Count); ++kind) {
     const auto fault = static_cast<SampleFault>(kind);
@@ -18,7 +18,7 @@
   return text;
 }
 
-json::array StepsText(const std::vector<StepTimes>& aSteps) {
+json::array StepsJson(const std::vector<StepTimes>& aSteps) {
   json::array steps;
   for (const StepTimes& times : aSteps) {
     json::object step;
@@ -30,7 +30,7 @@
   return steps;
 }
 
-json::object StalenessText(const std::map<int64_t, uint64_t>& aHistogram) {
+json::object StalenessJson(const std::map<int64_t, uint64_t>& aHistogram) {
   json::object text;
   for (const auto& [versions, samples] : aHistogram) {
     text[std::to_string(versions)] = samples;
@@ -38,25 +38,25 @@
   return text;
 }
 
-json::object TruthText(const TruthCounts& aTruth) {
+json::object LabelsJson(const LabelCounts& aLabelCounts) {
   json::object text;
-  text["true"] = aTruth.mTrue;
-  text["false"] = aTruth.mFalse;
-  text["unknown"] = aTruth.mUnknown;
-  text["journals_lost"] = aTruth.mJournalsLost;
+  text["true"] = aLabelCounts.mTrue;
+  text["false"] = aLabelCounts.mFalse;
+  text["unknown"] = aLabelCounts.mUnknown;
+  text["journals_lost"] = aLabelCounts.mJournalsLost;
   return text;
 }
 
-json::object PullsText(const TrainerFigures& aFigures,
-                       const RepeatCounts& aRepeats) {
+json::object PullsJson(const TrainerStats& aStats,
+                       const RetryCounts& aRetries) {
   json::object text;
-  text["pulls"] = aFigures.mPulls;
-  text["empty"] = aFigures.mEmptyPulls;
-  text["unfit_answers"] = aFigures.mUnfitAnswers;
-  text["reopened"] = aFigures.mReopened;
-  text["superseded"] = aFigures.mSuperseded;
-  text["lost"] = aRepeats.mLost;
-  text["refused"] = aRepeats.mRefused;
+  text["pulls"] = aStats.mPulls;
+  text["empty"] = aStats.mEmptyPulls;
+  text["unfit_answers"] = aStats.mUnfitAnswers;
+  text["reopened"] = aStats.mReopened;
+  text["superseded"] = aStats.mSuperseded;
+  text["lost"] = aRetries.mLost;
+  text["refused"] = aRetries.mRefused;
   return text;
 }
 
@@ -64,9 +64,9 @@
 
 json::object TrainerResult(const TrainerOptions& aOptions,
                            const TrainerProgress& aProgress,
-                           const TrainerFigures& aFigures,
-                           const RepeatCounts& aRepeats,
-                           const TruthCounts& aTruth) {
+                           const TrainerStats& aStats,
+                           const RetryCounts& aRetries,
+                           const LabelCounts& aLabelCounts) {
   const uint64_t expected =
       aOptions.mSteps * aOptions.mGroups * aOptions.mGroupSize;
   uint64_t faults = 0;
@@ -74,22 +74,22 @@
   result["trainer"] = aOptions.mName;
   result["samples"] = aProgress.mSamples;
   result["expected"] = expected;
-  result["faults"] = FaultsText(aProgress.mFaults, faults);
-  result["labels"] = TruthText(aTruth);
-  result["staleness"] = StalenessText(aProgress.mStaleness);
-  result["newest_version"] = aProgress.mNewest;
-  const Millis whole = aFigures.mEnded - aFigures.mStarted;
+  result["faults"] = FaultsJson(aProgress.mFaults, faults);
+  result["labels"] = LabelsJson(aLabelCounts);
+  result["staleness"] = StalenessJson(aProgress.mStaleness);
+  result["newest_version"] = aProgress.mNewestVersion;
+  const Millis whole = aStats.mEnded - aStats.mStarted;
   result["run_ms"] = whole.Count();
-  result["idle_ms"] = aFigures.mIdle.Count();
-  result["training_ms"] = aFigures.mTraining.Count();
+  result["idle_ms"] = aStats.mIdle.Count();
+  result["training_ms"] = aStats.mTraining.Count();
   result["idle_share"] = whole.Count() > 0
-                             ? static_cast<double>(aFigures.mIdle.Count()) /
+                             ? static_cast<double>(aStats.mIdle.Count()) /
                                    static_cast<double>(whole.Count())
                              : 0.0;
-  result["steps"] = StepsText(aFigures.mSteps);
-  result["pulls"] = PullsText(aFigures, aRepeats);
-  result["gave_up"] = aFigures.mGaveUp;
-  result["ok"] = !aFigures.mGaveUp && faults == 0 && aTruth.mFalse == 0 &&
+  result["steps"] = StepsJson(aStats.mSteps);
+  result["pulls"] = PullsJson(aStats, aRetries);
+  result["gave_up"] = aStats.mGaveUp;
+  result["ok"] = !aStats.mGaveUp && faults == 0 && aLabelCounts.mFalse == 0 &&
                  aProgress.mSamples == expected;
   return result;
 }
--- a/src/standin/trainer_result.h
+++ b/src/standin/trainer_result.h
@@ -1,21 +1,22 @@
 /// \file
-/// What a trainer reports at its end.
+/// The final report of a trainer.
 
 #pragma once
 
 #include <boost/json.hpp>
 
 #include "driver_nodes.h"
+#include "trainer_labels.h"
 #include "trainer_run.h"
-#include "trainer_truth.h"
 
 namespace rillwall::standin {
 
-/// \return the result as JSON; "ok" says whether all promises held
+/// \return the result as JSON; "ok" is true if all guarantees held and all
+/// expected samples were received
 boost::json::object TrainerResult(const TrainerOptions& aOptions,
                                   const TrainerProgress& aProgress,
-                                  const TrainerFigures& aFigures,
-                                  const RepeatCounts& aRepeats,
-                                  const TruthCounts& aTruth);
+                                  const TrainerStats& aStats,
+                                  const RetryCounts& aRetries,
+                                  const LabelCounts& aLabelCounts);
 
 }  // namespace rillwall::standin
--- a/src/standin/trainer_run.cpp
+++ b/src/standin/trainer_run.cpp
@@ -15,17 +15,17 @@
 namespace {
 
 constexpr Millis kCallTimeout{15000};
-constexpr Millis kPullSlack{15000};
-constexpr Millis kStorePause{200};
-constexpr int kStoreTries = 100;
+constexpr Millis kPullTimeoutMargin{15000};
+constexpr Millis kRetryDelay{200};
+constexpr int kMaxStoreAttempts = 100;
 constexpr int kOk = 200;
-constexpr int kFailed = 300;
+constexpr int kSuccessEnd = 300;
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 constexpr int64_t kMillisPerSecond = 1000;
 
-bool Good(const HttpResponse& aResponse) {
-  return aResponse.mStatus >= kOk && aResponse.mStatus < kFailed;
+bool IsSuccess(const HttpResponse& aResponse) {
+  return aResponse.mStatus >= kOk && aResponse.mStatus < kSuccessEnd;
 }
 
 }  // namespace
@@ -42,19 +42,19 @@
       mClient(aClient),
       mLog(aLog),
       mProgress(std::move(aProgress)),
-      mTrainedThrough(aOptions.mFirstStep - 1),
-      mChanged(aContext, asio::steady_timer::time_point::max()) {
-  while (mProgress.mSteps.contains(mTrainedThrough + 1) &&
-         mProgress.mSteps[mTrainedThrough + 1].mTrained) {
-    ++mTrainedThrough;
+      mLastTrainedStep(aOptions.mFirstStep - 1),
+      mStateChanged(aContext, asio::steady_timer::time_point::max()) {
+  while (mProgress.mSteps.contains(mLastTrainedStep + 1) &&
+         mProgress.mSteps[mLastTrainedStep + 1].mTrained) {
+    ++mLastTrainedStep;
   }
 }
 
 uint64_t TrainerRun::LastStep() const {
-  const Millis ran = Now() - mFigures.mStarted;
+  const Millis ran = Now() - mStats.mStarted;
   const Millis limit(mOptions.mSeconds * kMillisPerSecond);
   if (mOptions.mSeconds > 0 && ran > limit) {
-    return mBegun;
+    return mLastStartedStep;
   }
   return mOptions.mFirstStep + mOptions.mSteps - 1;
 }
@@ -70,45 +70,46 @@
   return "/v1/trainers/" + mOptions.mName + aRest;
 }
 
-void TrainerRun::GiveUp(const std::string& aWhy) {
-  std::cerr << "trainer: " << aWhy << std::endl;
-  mFigures.mGaveUp = true;
+void TrainerRun::GiveUp(const std::string& aReason) {
+  std::cerr << "trainer: " << aReason << std::endl;
+  mStats.mGaveUp = true;
   mFinished = true;
-  mFigures.mEnded = Now();
-  mChanged.cancel();
+  mStats.mEnded = Now();
+  mStateChanged.cancel();
 }
 
-asio::awaitable<void> TrainerRun::Await() {
+asio::awaitable<void> TrainerRun::WaitForChange() {
   boost::system::error_code ignored;
-  co_await mChanged.async_wait(
+  co_await mStateChanged.async_wait(
       asio::redirect_error(asio::use_awaitable, ignored));
 }
 
 asio::awaitable<void> TrainerRun::Run() {
-  mFigures.mStarted = Now();
-  const int64_t first = std::max(mProgress.mNewest, mOptions.mFirstVersion);
+  mStats.mStarted = Now();
+  const int64_t first =
+      std::max(mProgress.mNewestVersion, mOptions.mFirstVersion);
   const bool announced = co_await Announce(first);
   if (!announced) {
     co_return;
   }
   asio::co_spawn(mContext, Train(), asio::detached);
-  for (uint64_t step = mTrainedThrough + 1; step <= LastStep() && !mFinished;
+  for (uint64_t step = mLastTrainedStep + 1; step <= LastStep() && !mFinished;
        ++step) {
-    while (!mFinished && step > mTrainedThrough + 1 + mOptions.mAhead) {
-      co_await Await();
+    while (!mFinished && step > mLastTrainedStep + 1 + mOptions.mAhead) {
+      co_await WaitForChange();
     }
     if (step > LastStep()) {
       break;
     }
-    mBegun = step;
+    mLastStartedStep = step;
     asio::co_spawn(mContext, RunStep(step), asio::detached);
   }
-  while (!mFinished && mTrainedThrough < LastStep()) {
-    co_await Await();
+  while (!mFinished && mLastTrainedStep < LastStep()) {
+    co_await WaitForChange();
   }
   mFinished = true;
-  mChanged.cancel();
-  mFigures.mEnded = Now();
+  mStateChanged.cancel();
+  mStats.mEnded = Now();
 }
 
 asio::awaitable<bool> TrainerRun::CreateWeights(const std::string& aPath) {
@@ -120,22 +121,23 @@
   HttpRequest request;
   request.mMethod = "PUT";
   request.mTarget = aPath + "?bytes=" + std::to_string(mOptions.mBytes);
-  for (int attempt = 0; attempt < kStoreTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxStoreAttempts; ++attempt) {
     const auto made =
         co_await mClient.Send(store.value(), request, kCallTimeout);
-    if (made.has_value() && Good(made.value())) {
+    if (made.has_value() && IsSuccess(made.value())) {
       co_return true;
     }
-    co_await Sleep(kStorePause);
+    co_await Sleep(kRetryDelay);
   }
-  GiveUp("The weight store does not take " + aPath + ".");
+  GiveUp("The weight store does not accept " + aPath + ".");
   co_return false;
 }
 
 asio::awaitable<bool> TrainerRun::Announce(int64_t aVersion) {
-  // Written first: samples of this version may come before the answer.
-  const bool again = mProgress.mNewest >= aVersion;
-  mProgress.mNewest = aVersion;
+  // Logged first, because samples of this version may arrive before the
+  // response to the announcement.
+  const bool again = mProgress.mNewestVersion >= aVersion;
+  mProgress.mNewestVersion = aVersion;
   mLog.WriteVersion(aVersion);
   const std::string path =
       "/weights/" + mOptions.mName + "-v" + std::to_string(aVersion);
@@ -154,11 +156,12 @@
     GiveUp(answer.error().Message());
     co_return false;
   }
-  // A try whose answer was lost may have announced it.
+  // A conflict is a success if an earlier attempt, whose response was lost, may
+  // have announced the version.
   const bool known = answer.value().mResponse.mStatus == kConflict &&
-                     (again || answer.value().mRepeated);
-  if (!Good(answer.value().mResponse) && !known) {
-    GiveUp("Version refused: " + answer.value().mResponse.mBody);
+                     (again || answer.value().mMayHaveRun);
+  if (!IsSuccess(answer.value().mResponse) && !known) {
+    GiveUp("The version was refused: " + answer.value().mResponse.mBody);
     co_return false;
   }
   std::cout << "announced version " << aVersion << std::endl;
@@ -167,12 +170,12 @@
 
 asio::awaitable<bool> TrainerRun::AnnounceNext() {
   while (mAnnouncing && !mFinished) {
-    co_await Await();
+    co_await WaitForChange();
   }
   mAnnouncing = true;
-  const bool announced = co_await Announce(mProgress.mNewest + 1);
+  const bool announced = co_await Announce(mProgress.mNewestVersion + 1);
   mAnnouncing = false;
-  mChanged.cancel();
+  mStateChanged.cancel();
   co_return announced;
 }
 
@@ -192,71 +195,73 @@
   const auto answer = co_await mNodes.Ask(
       JsonRequest("POST", Target("/steps"), json::serialize(body)),
       kCallTimeout);
-  if (!answer.has_value() || !Good(answer.value().mResponse)) {
-    GiveUp("Step not opened: " + (answer.has_value()
-                                      ? answer.value().mResponse.mBody
-                                      : answer.error().Message()));
+  if (!answer.has_value() || !IsSuccess(answer.value().mResponse)) {
+    GiveUp("The step was not opened: " + (answer.has_value()
+                                              ? answer.value().mResponse.mBody
+                                              : answer.error().Message()));
     co_return false;
   }
   co_return true;
 }
 
 asio::awaitable<Result<bool>> TrainerRun::Pull(uint64_t aStep) {
-  const int64_t stated = mProgress.mNewest;
+  const int64_t stated = mProgress.mNewestVersion;
   json::object body;
   body["receipt"] = mProgress.mSteps[aStep].mReceipt;
   body["version"] = stated;
   body["max_groups"] = mOptions.mPullGroups;
   body["wait_ms"] = mOptions.mPullWaitMillis;
-  ++mFigures.mPulls;
+  ++mStats.mPulls;
   const auto sent = co_await mNodes.Ask(
       JsonRequest("POST", Target("/steps/" + std::to_string(aStep) + "/pull"),
                   json::serialize(body)),
-      Millis(mOptions.mPullWaitMillis) + kPullSlack);
+      Millis(mOptions.mPullWaitMillis) + kPullTimeoutMargin);
   if (!sent.has_value()) {
     co_return sent.error();
   }
   const HttpResponse& response = sent.value().mResponse;
   if (response.mStatus == kNotFound) {
-    ++mFigures.mReopened;
+    ++mStats.mReopened;
     const bool opened = co_await Open(aStep);
     if (!opened) {
-      co_return Error(ErrorKind::NotFound, "The step is gone.");
+      co_return Error(ErrorKind::NotFound,
+                      "The step is unknown and could not be opened again.");
     }
     co_return false;
   }
   if (response.mStatus == kConflict) {
-    ++mFigures.mSuperseded;
-    co_await Sleep(kStorePause);
+    ++mStats.mSuperseded;
+    co_await Sleep(kRetryDelay);
     co_return false;
   }
-  if (!Good(response)) {
-    co_return Error(ErrorKind::BadRequest, "Pull refused: " + response.mBody);
+  if (!IsSuccess(response)) {
+    co_return Error(ErrorKind::BadRequest,
+                    "The pull was refused: " + response.mBody);
   }
-  const auto answer = ParseAnswer(response.mBody);
+  const auto answer = ParsePullResponse(response.mBody);
   if (!answer.has_value()) {
     co_return answer.error();
   }
-  TakeIn(aStep, answer.value(), stated);
+  AcceptResponse(aStep, answer.value(), stated);
   co_return mProgress.mSteps[aStep].mGroups.size() == mOptions.mGroups;
 }
 
-void TrainerRun::TakeIn(uint64_t aStep, const DeliveredAnswer& aAnswer,
-                        int64_t aStated) {
+void TrainerRun::AcceptResponse(uint64_t aStep, const PullResponse& aAnswer,
+                                int64_t aStatedVersion) {
   if (aAnswer.mExtends != mProgress.mSteps[aStep].mReceipt) {
-    ++mFigures.mUnfitAnswers;
+    ++mStats.mUnfitAnswers;
     return;
   }
   if (aAnswer.mGroups.empty()) {
-    ++mFigures.mEmptyPulls;
+    ++mStats.mEmptyPulls;
     return;
   }
-  const AnswerRecord record = Check(aStep, aAnswer, aStated);
-  mLog.WriteAnswer(record);
-  mProgress.Take(record);
+  const PullRecord record = Check(aStep, aAnswer, aStatedVersion);
+  mLog.WritePull(record);
+  mProgress.Apply(record);
   for (size_t taken = 0; taken < record.mGroups.size(); ++taken) {
-    mToTrain.push_back(aStep);
-    ++mUntrained[aStep];
+    mTrainingQueue.push_back(aStep);
+    ++mUntrainedGroups[aStep];
   }
   const size_t received = mProgress.mSteps[aStep].mGroups.size();
   const size_t half = mOptions.mGroups / 2;
@@ -265,12 +270,12 @@
   if (mOptions.mSwapMidStep && passed) {
     asio::co_spawn(mContext, AnnounceMidStep(), asio::detached);
   }
-  mChanged.cancel();
+  mStateChanged.cancel();
 }
 
-AnswerRecord TrainerRun::Check(uint64_t aStep, const DeliveredAnswer& aAnswer,
-                               int64_t aStated) const {
-  AnswerRecord record;
+PullRecord TrainerRun::Check(uint64_t aStep, const PullResponse& aAnswer,
+                             int64_t aStatedVersion) const {
+  PullRecord record;
   record.mStep = aStep;
   record.mReceipt = aAnswer.mReceipt;
   std::set<size_t> received = mProgress.mSteps.at(aStep).mGroups;
@@ -283,13 +288,14 @@
       record.mFaults[SampleFault::Repeated] += group.mSamples.size();
     }
     const std::string prompt = Prompt(aStep, group.mGroup);
-    CheckGroup(group,
-               {prompt, mOptions.mGroupSize, mOptions.mMaxTokens,
-                mProgress.mNewest, aStated, mOptions.mMaxStaleness},
-               record.mFaults);
+    CheckGroup(
+        group,
+        {prompt, mOptions.mGroupSize, mOptions.mMaxTokens,
+         mProgress.mNewestVersion, aStatedVersion, mOptions.mMaxStaleness},
+        record.mFaults);
     record.mGroups.push_back(group.mGroup);
     for (const DeliveredSample& sample : group.mSamples) {
-      ++record.mStaleness[StalenessOf(sample, mProgress.mNewest)];
+      ++record.mStaleness[StalenessOf(sample, mProgress.mNewestVersion)];
       const auto text = AnswerText::FromText(prompt, sample.mText);
       record.mLabels.push_back({text ? text->Id() : "", sample.mLabel});
     }
@@ -314,8 +320,8 @@
       end = Now() + Millis(mOptions.mPatienceSeconds * kMillisPerSecond);
     }
     if (!complete && Now() > end) {
-      GiveUp("No group came for " + std::to_string(mOptions.mPatienceSeconds) +
-             " s.");
+      GiveUp("No group was received for " +
+             std::to_string(mOptions.mPatienceSeconds) + " s.");
       co_return false;
     }
   }
@@ -347,14 +353,15 @@
   }
   times.mReceived = Now();
   co_await Close(aStep);
-  while (!mFinished && (mUntrained[aStep] > 0 || mTrainedThrough + 1 < aStep)) {
-    co_await Await();
+  while (!mFinished &&
+         (mUntrainedGroups[aStep] > 0 || mLastTrainedStep + 1 < aStep)) {
+    co_await WaitForChange();
   }
   if (mFinished) {
     co_return;
   }
   times.mTrained = Now();
-  mFigures.mSteps.push_back(times);
+  mStats.mSteps.push_back(times);
   mLog.WriteTrained(aStep);
   mProgress.mSteps[aStep].mTrained = true;
   std::cout << "step " << aStep << " received in "
@@ -365,26 +372,26 @@
       co_return;
     }
   }
-  mTrainedThrough = aStep;
-  mChanged.cancel();
+  mLastTrainedStep = aStep;
+  mStateChanged.cancel();
 }
 
 asio::awaitable<void> TrainerRun::Train() {
   while (!mFinished) {
     const Millis start = Now();
-    if (mToTrain.empty()) {
-      co_await Await();
-      mFigures.mIdle += Now() - start;
+    if (mTrainingQueue.empty()) {
+      co_await WaitForChange();
+      mStats.mIdle += Now() - start;
       continue;
     }
-    const uint64_t step = mToTrain.front();
-    mToTrain.pop_front();
+    const uint64_t step = mTrainingQueue.front();
+    mTrainingQueue.pop_front();
     if (mOptions.mTrainMillis > 0) {
       co_await Sleep(Millis(mOptions.mTrainMillis));
     }
-    mFigures.mTraining += Now() - start;
-    if (--mUntrained[step] == 0) {
-      mChanged.cancel();
+    mStats.mTraining += Now() - start;
+    if (--mUntrainedGroups[step] == 0) {
+      mStateChanged.cancel();
     }
   }
 }
--- a/src/standin/trainer_sample.cpp
+++ b/src/standin/trainer_sample.cpp
@@ -66,24 +66,25 @@
 }
 
 void CheckSample(const DeliveredSample& aSample,
-                 const GroupExpectation& aWanted, FaultCounts& aFaults) {
-  const int64_t length = AnswerLength(aWanted.mPrompt);
-  const int64_t tokens = std::min(length, aWanted.mMaxTokens);
+                 const GroupExpectation& aExpected, FaultCounts& aFaults) {
+  const int64_t length = AnswerLength(aExpected.mPrompt);
+  const int64_t tokens = std::min(length, aExpected.mMaxTokens);
   if (CountTokens(aSample.mText) != tokens ||
-      !IsAnswerTo(aWanted.mPrompt, aSample.mText)) {
+      !IsAnswerTo(aExpected.mPrompt, aSample.mText)) {
     ++aFaults[SampleFault::WrongText];
   }
   if (!LabelCovers(aSample.mLabel, CountTokens(aSample.mText))) {
     ++aFaults[SampleFault::BrokenLabel];
   }
-  if (NewestOf(aSample.mLabel) > aWanted.mNewest) {
+  if (NewestOf(aSample.mLabel) > aExpected.mNewestVersion) {
     ++aFaults[SampleFault::FutureVersion];
   }
-  if (aWanted.mMaxStaleness >= 0 &&
-      StalenessOf(aSample, aWanted.mStated) > aWanted.mMaxStaleness) {
+  if (aExpected.mMaxStaleness >= 0 &&
+      StalenessOf(aSample, aExpected.mStatedVersion) >
+          aExpected.mMaxStaleness) {
     ++aFaults[SampleFault::Stale];
   }
-  if (aSample.mFinish != (length > aWanted.mMaxTokens ? "length" : "stop")) {
+  if (aSample.mFinish != (length > aExpected.mMaxTokens ? "length" : "stop")) {
     ++aFaults[SampleFault::WrongFinish];
   }
   if (aSample.mScore < 0 || aSample.mScore > 1) {
@@ -119,12 +120,12 @@
   return "unknown";
 }
 
-Result<DeliveredAnswer> ParseAnswer(const std::string& aBody) {
+Result<PullResponse> ParsePullResponse(const std::string& aBody) {
   const auto object = ParseObject(aBody);
   if (!object.has_value()) {
     return object.error();
   }
-  DeliveredAnswer answer;
+  PullResponse answer;
   answer.mExtends = TextOf(object.value(), "extends");
   answer.mReceipt = TextOf(object.value(), "receipt");
   const json::value* complete = object.value().if_contains("complete");
@@ -135,29 +136,29 @@
   return answer;
 }
 
-void CheckGroup(const DeliveredGroup& aGroup, const GroupExpectation& aWanted,
+void CheckGroup(const DeliveredGroup& aGroup, const GroupExpectation& aExpected,
                 FaultCounts& aFaults) {
   std::set<size_t> indices;
   std::set<std::string> texts;
   for (const DeliveredSample& sample : aGroup.mSamples) {
-    CheckSample(sample, aWanted, aFaults);
+    CheckSample(sample, aExpected, aFaults);
     indices.insert(sample.mIndex);
     if (!texts.insert(sample.mText).second) {
       ++aFaults[SampleFault::SameText];
     }
   }
-  if (indices.size() != aWanted.mGroupSize ||
-      aGroup.mSamples.size() != aWanted.mGroupSize) {
+  if (indices.size() != aExpected.mGroupSize ||
+      aGroup.mSamples.size() != aExpected.mGroupSize) {
     ++aFaults[SampleFault::WrongGroup];
   }
 }
 
-int64_t StalenessOf(const DeliveredSample& aSample, int64_t aNewest) {
-  int64_t oldest = aNewest;
+int64_t StalenessOf(const DeliveredSample& aSample, int64_t aNewestVersion) {
+  int64_t oldest = aNewestVersion;
   for (const VersionSpan& span : aSample.mLabel) {
     oldest = std::min(oldest, span.mVersion);
   }
-  return aNewest - oldest;
+  return aNewestVersion - oldest;
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/trainer_sample.h
+++ b/src/standin/trainer_sample.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a trainer checks of every sample that it receives.
+/// Parses pull responses and checks every sample that a trainer receives.
 
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace rillwall::standin {
 
-/// One sample of an answer.
+/// A sample of a pull response.
 struct DeliveredSample {
   size_t mIndex = 0;
   std::string mText;
@@ -24,58 +24,60 @@
   std::string mFinish;
 };
 
-/// One group of an answer.
+/// A group of samples for one prompt.
 struct DeliveredGroup {
   size_t mGroup = 0;
   std::vector<DeliveredSample> mSamples;
 };
 
-/// An answer to a pull.
-struct DeliveredAnswer {
-  std::string mExtends;
-  std::string mReceipt;
+/// The response to a pull.
+struct PullResponse {
+  std::string mExtends;  ///< receipt that the response continues
+  std::string mReceipt;  ///< receipt after the response
   bool mComplete = false;
   std::vector<DeliveredGroup> mGroups;
 };
 
-/// \return the answer, or BadRequest if it is not as docs/API.md says
-Result<DeliveredAnswer> ParseAnswer(const std::string& aBody);
+/// \return the response, in the format of docs/API.md, or BadRequest
+Result<PullResponse> ParsePullResponse(const std::string& aBody);
 
-/// Broken promises found in samples, by kind.
+/// Kinds of violated guarantees in samples.
 enum class SampleFault {
-  Repeated,       ///< identity received before
-  WrongGroup,     ///< unknown group, or indices that are not the group's
-  WrongText,      ///< not the whole answer to the prompt
-  SameText,       ///< two samples of a group are one answer
-  BrokenLabel,    ///< spans do not cover the tokens without gaps
-  FutureVersion,  ///< a version that was never announced
-  Stale,          ///< over the bound
+  Repeated,       ///< the group was received before
+  WrongGroup,     ///< unknown group, or wrong sample indices
+  WrongText,      ///< not the complete answer to the prompt
+  SameText,       ///< two samples of a group are identical
+  BrokenLabel,    ///< spans do not cover all tokens without gaps
+  FutureVersion,  ///< a version that was not announced
+  Stale,          ///< exceeds the staleness bound
   WrongFinish,
   WrongScore,
   Count
 };
 
-/// \return the fault's name in results
+/// \return the name of the fault in results
 const char* SampleFaultName(SampleFault aFault);
 
 using FaultCounts = std::map<SampleFault, uint64_t>;
 
-/// What the samples of a group must be.
+/// Expected properties of the samples of a group.
 struct GroupExpectation {
   std::string mPrompt;
   size_t mGroupSize = 0;
   int64_t mMaxTokens = 0;
-  int64_t mNewest = 0;        ///< version announced, also if not answered yet
-  int64_t mStated = 0;        ///< version stated in the pull
-  int64_t mMaxStaleness = 0;  ///< versions; -1: no bound
+  int64_t mNewestVersion =
+      0;  ///< highest version announced, even without a response
+  int64_t mStatedVersion = 0;  ///< version stated in the pull
+  int64_t mMaxStaleness = 0;   ///< versions; -1: no bound
 };
 
-/// Checks all but identities.
-/// \param aFaults counts are added to it
-void CheckGroup(const DeliveredGroup& aGroup, const GroupExpectation& aWanted,
+/// Checks a group for all faults except Repeated.
+/// \param aFaults increased by the faults found
+void CheckGroup(const DeliveredGroup& aGroup, const GroupExpectation& aExpected,
                 FaultCounts& aFaults);
 
-/// \return the newest version less the label's oldest
-int64_t StalenessOf(const DeliveredSample& aSample, int64_t aNewest);
+/// \return by how many versions the oldest version in the label lags behind
+/// aNewestVersion
+int64_t StalenessOf(const DeliveredSample& aSample, int64_t aNewestVersion);
 
 }  // namespace rillwall::standin
--- a/src/standin/trainer_sample_test.cpp
+++ b/src/standin/trainer_sample_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of what a trainer finds wrong in samples, and of its log.
+/// Tests the sample checks and the log of the trainer.
 
 #include "trainer_sample.h"
 
@@ -11,8 +11,8 @@
 #include <fstream>
 
 #include "engine_text.h"
+#include "trainer_labels.h"
 #include "trainer_log.h"
-#include "trainer_truth.h"
 
 namespace rillwall::standin {
 
@@ -20,24 +20,24 @@
 
 constexpr int64_t kTokens = 12;
 
-GroupExpectation Wanted() {
-  GroupExpectation wanted;
-  wanted.mPrompt = WithLength("prompt", kTokens);
-  wanted.mGroupSize = 2;
-  wanted.mMaxTokens = 100;
-  wanted.mNewest = 5;
-  wanted.mStated = 5;
-  wanted.mMaxStaleness = 2;
-  return wanted;
+GroupExpectation Expected() {
+  GroupExpectation expected;
+  expected.mPrompt = WithLength("prompt", kTokens);
+  expected.mGroupSize = 2;
+  expected.mMaxTokens = 100;
+  expected.mNewestVersion = 5;
+  expected.mStatedVersion = 5;
+  expected.mMaxStaleness = 2;
+  return expected;
 }
 
-DeliveredGroup GoodGroup() {
+DeliveredGroup ValidGroup() {
   DeliveredGroup group;
   for (size_t index = 0; index < 2; ++index) {
     DeliveredSample sample;
     sample.mIndex = index;
     sample.mText =
-        AnswerText::ForSeed(Wanted().mPrompt, static_cast<int64_t>(index))
+        AnswerText::ForSeed(Expected().mPrompt, static_cast<int64_t>(index))
             .Range(0, kTokens);
     sample.mLabel = {{4, 0, 5}, {5, 5, kTokens}};
     sample.mFinish = "stop";
@@ -46,10 +46,10 @@
   return group;
 }
 
-/// \return how often a fault is found
-uint64_t Found(const DeliveredGroup& aGroup, SampleFault aFault) {
+/// \return how often CheckGroup() reports a fault
+uint64_t CountFault(const DeliveredGroup& aGroup, SampleFault aFault) {
   FaultCounts faults;
-  CheckGroup(aGroup, Wanted(), faults);
+  CheckGroup(aGroup, Expected(), faults);
   return faults[aFault];
 }
 
@@ -57,58 +57,63 @@
 
 class TrainerSampleTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TrainerSampleTest);
-  CPPUNIT_TEST(GoodGroupHasNoFault);
-  CPPUNIT_TEST(WrongTextIsFound);
-  CPPUNIT_TEST(BrokenLabelIsFound);
-  CPPUNIT_TEST(StaleAndFutureAreFound);
-  CPPUNIT_TEST(WrongIndicesAreFound);
-  CPPUNIT_TEST(FalseLabelIsFound);
-  CPPUNIT_TEST(LogOutlivesHalfALine);
+  CPPUNIT_TEST(ValidGroupHasNoFault);
+  CPPUNIT_TEST(WrongTextIsDetected);
+  CPPUNIT_TEST(BrokenLabelIsDetected);
+  CPPUNIT_TEST(StaleAndFutureVersionsAreDetected);
+  CPPUNIT_TEST(WrongIndicesAreDetected);
+  CPPUNIT_TEST(FalseLabelIsDetected);
+  CPPUNIT_TEST(TruncatedLogLineIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void GoodGroupHasNoFault() {
+  void ValidGroupHasNoFault() {
     FaultCounts faults;
-    CheckGroup(GoodGroup(), Wanted(), faults);
+    CheckGroup(ValidGroup(), Expected(), faults);
     CPPUNIT_ASSERT(faults.empty());
   }
 
-  void WrongTextIsFound() {
-    DeliveredGroup group = GoodGroup();
+  void WrongTextIsDetected() {
+    DeliveredGroup group = ValidGroup();
     group.mSamples[0].mText.resize(kTokenBytes * (kTokens - 1));
-    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, Found(group, SampleFault::WrongText));
-    group = GoodGroup();
+    CPPUNIT_ASSERT_EQUAL(uint64_t{1},
+                         CountFault(group, SampleFault::WrongText));
+    group = ValidGroup();
     group.mSamples[1].mText[25] ^= 1;
-    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, Found(group, SampleFault::WrongText));
-    group = GoodGroup();
+    CPPUNIT_ASSERT_EQUAL(uint64_t{1},
+                         CountFault(group, SampleFault::WrongText));
+    group = ValidGroup();
     group.mSamples[1].mText = group.mSamples[0].mText;
-    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, Found(group, SampleFault::SameText));
+    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, CountFault(group, SampleFault::SameText));
   }
 
-  void BrokenLabelIsFound() {
-    DeliveredGroup group = GoodGroup();
+  void BrokenLabelIsDetected() {
+    DeliveredGroup group = ValidGroup();
     group.mSamples[0].mLabel[1].mBegin = 6;
     group.mSamples[1].mLabel[1].mEnd = kTokens - 1;
-    CPPUNIT_ASSERT_EQUAL(uint64_t{2}, Found(group, SampleFault::BrokenLabel));
+    CPPUNIT_ASSERT_EQUAL(uint64_t{2},
+                         CountFault(group, SampleFault::BrokenLabel));
   }
 
-  void StaleAndFutureAreFound() {
-    DeliveredGroup group = GoodGroup();
+  void StaleAndFutureVersionsAreDetected() {
+    DeliveredGroup group = ValidGroup();
     group.mSamples[0].mLabel[0].mVersion = 2;
     group.mSamples[1].mLabel[1].mVersion = 6;
-    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, Found(group, SampleFault::Stale));
-    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, Found(group, SampleFault::FutureVersion));
+    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, CountFault(group, SampleFault::Stale));
+    CPPUNIT_ASSERT_EQUAL(uint64_t{1},
+                         CountFault(group, SampleFault::FutureVersion));
   }
 
-  void WrongIndicesAreFound() {
-    DeliveredGroup group = GoodGroup();
+  void WrongIndicesAreDetected() {
+    DeliveredGroup group = ValidGroup();
     group.mSamples[1].mIndex = 0;
-    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, Found(group, SampleFault::WrongGroup));
+    CPPUNIT_ASSERT_EQUAL(uint64_t{1},
+                         CountFault(group, SampleFault::WrongGroup));
   }
 
-  void FalseLabelIsFound() {
+  void FalseLabelIsDetected() {
     EngineJournals journals;
-    // A stream that was cut at 8 and resumed from 6 elsewhere.
+    // One engine produced tokens up to 8; another resumed the stream from 6.
     journals.mProduced["id"] = {{4, 0, 5}, {5, 5, 8}, {5, 6, kTokens}};
     SampleLabel label{"id", {{4, 0, 5}, {5, 5, kTokens}}};
     CPPUNIT_ASSERT_EQUAL(uint64_t{1},
@@ -120,10 +125,10 @@
                          CompareLabels(journals, {label}, 1).mUnknown);
   }
 
-  void LogOutlivesHalfALine() {
+  void TruncatedLogLineIsIgnored() {
     std::string path = "/tmp/rillwall-trainer-log-XXXXXX";
     ::close(::mkstemp(path.data()));
-    AnswerRecord record;
+    PullRecord record;
     record.mStep = 3;
     record.mReceipt = "first";
     record.mGroups = {1, 4};
@@ -132,7 +137,7 @@
       TrainerLog log;
       CPPUNIT_ASSERT(log.Open(path).has_value());
       log.WriteVersion(7);
-      log.WriteAnswer(record);
+      log.WritePull(record);
     }
     std::ofstream(path, std::ios::app) << R"({"step":3,"receipt":"sec)";
     TrainerLog log;
@@ -141,7 +146,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("first"), progress->mSteps[3].mReceipt);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, progress->mSteps[3].mGroups.size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{16}, progress->mSamples);
-    CPPUNIT_ASSERT_EQUAL(int64_t{7}, progress->mNewest);
+    CPPUNIT_ASSERT_EQUAL(int64_t{7}, progress->mNewestVersion);
     log.WriteTrained(3);
     TrainerLog later;
     CPPUNIT_ASSERT(later.Open(path)->mSteps[3].mTrained);
--- a/src/standin/weights.cpp
+++ b/src/standin/weights.cpp
@@ -1,12 +1,13 @@
 /// \file
-/// The weight store: byte ranges of made-up files at one total rate.
+/// Stand-in of the weight store: serves byte ranges of synthetic files under
+/// one total rate limit.
 
 #include <algorithm>
 #include <map>
 #include <optional>
 
+#include "commands.h"
 #include "control_serve.h"
-#include "verbs.h"
 #include "weights_rate.h"
 
 namespace rillwall::standin {
@@ -17,15 +18,16 @@
 constexpr char kPrefix[] = "/weights/";
 constexpr int64_t kMaxChunk = 256 * 1024;
 constexpr int64_t kMinChunk = 4 * 1024;
-constexpr double kBytesPerMilliOfMBps = 1000;
-/// A chunk holds the line for about this long, so that readers take turns.
+constexpr double kBytesPerMsPerMBps = 1000;
+/// Target duration of a chunk under the rate limit. Short chunks let concurrent
+/// readers share the rate.
 constexpr double kChunkMillis = 10;
 
-/// What was read so far.
+/// Read statistics.
 struct WeightCounts {
   int64_t mReads = 0;
   int64_t mBytes = 0;
-  int64_t mWaits = 0;  ///< chunks that the rate held back
+  int64_t mWaits = 0;  ///< chunks delayed by the rate limit
   int64_t mReaders = 0;
   int64_t mPeakReaders = 0;
 };
@@ -44,6 +46,7 @@
   return head;
 }
 
+/// Serves the files, their creation and the statistics.
 class WeightStore {
  public:
   WeightStore() : mBlock(kMaxChunk, 'w') {}
@@ -55,10 +58,12 @@
   asio::awaitable<void> Read(const HttpRequest& aRequest, int64_t aSize,
                              HttpExchange& aExchange);
   asio::awaitable<void> Stream(ByteRange aRange, HttpExchange& aExchange);
-  HttpResponse Other(const HttpRequest& aRequest, const std::string& aName);
-  HttpResponse Make(const HttpRequest& aRequest, const std::string& aName);
+  HttpResponse HandleOther(const HttpRequest& aRequest,
+                           const std::string& aName);
+  HttpResponse CreateWeights(const HttpRequest& aRequest,
+                             const std::string& aName);
   HttpResponse Stats() const;
-  int64_t ChunkSize(double aBytesPerMilli) const;
+  int64_t ChunkSize(double aBytesPerMs) const;
 
   Control mControl{{kStatsPath}};
   Fault& mRate = mControl.Add("rate_mbps");
@@ -79,40 +84,43 @@
 asio::awaitable<void> WeightStore::Handle(const HttpRequest& aRequest,
                                           HttpExchange& aExchange) {
   const std::string_view path = aRequest.Path();
-  const bool one = path.starts_with(kPrefix);
-  const std::string name(one ? path.substr(sizeof(kPrefix) - 1) : "");
+  const bool isWeights = path.starts_with(kPrefix);
+  const std::string name(isWeights ? path.substr(sizeof(kPrefix) - 1) : "");
   const auto found = mSizes.find(name);
   if (aRequest.mMethod == "GET" && found != mSizes.end()) {
     co_await Read(aRequest, found->second, aExchange);
     co_return;
   }
-  HttpResponse answer = Other(aRequest, name);
+  HttpResponse answer = HandleOther(aRequest, name);
   co_await aExchange.Respond(std::move(answer));
 }
 
-HttpResponse WeightStore::Other(const HttpRequest& aRequest,
-                                const std::string& aName) {
+HttpResponse WeightStore::HandleOther(const HttpRequest& aRequest,
+                                      const std::string& aName) {
   if (aRequest.Path() == kStatsPath) {
     return Stats();
   }
   if (aName.empty()) {
-    return ErrorAnswer(404, "not-found", "Known: /weights/{name}, /stats.");
+    return MakeErrorResponse(404, "not-found",
+                             "Unknown path; use /weights/{name} or /stats.");
   }
   if (aRequest.mMethod == "PUT") {
-    return Make(aRequest, aName);
+    return CreateWeights(aRequest, aName);
   }
-  return ErrorAnswer(404, "not-found", "No such weights; PUT them first.");
+  return MakeErrorResponse(404, "not-found",
+                           "No such weights; create them with PUT.");
 }
 
-HttpResponse WeightStore::Make(const HttpRequest& aRequest,
-                               const std::string& aName) {
+HttpResponse WeightStore::CreateWeights(const HttpRequest& aRequest,
+                                        const std::string& aName) {
   const json::object query{{"bytes", aRequest.Query("bytes")}};
   const int64_t bytes = NumberOf(query, "bytes");
   if (bytes <= 0) {
-    return ErrorAnswer(400, "bad-request", "Send ?bytes=N, above zero.");
+    return MakeErrorResponse(400, "bad-request",
+                             "Send ?bytes=N with N above zero.");
   }
   mSizes[aName] = bytes;
-  return JsonAnswer(201, json::object{{"name", aName}, {"bytes", bytes}});
+  return MakeJsonResponse(201, json::object{{"name", aName}, {"bytes", bytes}});
 }
 
 asio::awaitable<void> WeightStore::Read(const HttpRequest& aRequest,
@@ -123,7 +131,7 @@
       header ? ParseRange(*header, aSize) : ByteRange{0, aSize};
   if (!range.has_value()) {
     HttpResponse refusal =
-        ErrorAnswer(416, "bad-request", range.error().Detail());
+        MakeErrorResponse(416, "bad-request", range.error().Detail());
     co_await aExchange.Respond(std::move(refusal));
     co_return;
   }
@@ -139,11 +147,11 @@
   --mCounts.mReaders;
 }
 
-int64_t WeightStore::ChunkSize(double aBytesPerMilli) const {
-  if (aBytesPerMilli <= 0) {
+int64_t WeightStore::ChunkSize(double aBytesPerMs) const {
+  if (aBytesPerMs <= 0) {
     return kMaxChunk;
   }
-  const auto fair = static_cast<int64_t>(aBytesPerMilli * kChunkMillis);
+  const auto fair = static_cast<int64_t>(aBytesPerMs * kChunkMillis);
   return std::clamp(fair, kMinChunk, kMaxChunk);
 }
 
@@ -151,7 +159,7 @@
                                           HttpExchange& aExchange) {
   const int64_t cutAt = mCutAfter.On() ? aRange.mBegin + mCutAfter.Count() : -1;
   for (int64_t at = aRange.mBegin; at < aRange.mEnd;) {
-    const double rate = mRate.Value() * kBytesPerMilliOfMBps;
+    const double rate = mRate.Value() * kBytesPerMsPerMBps;
     const int64_t size = std::min(ChunkSize(rate), aRange.mEnd - at);
     const Millis wait = mLimit.Reserve(size, rate, Now());
     if (wait > Millis()) {
@@ -185,16 +193,16 @@
   stats["readers"] = mCounts.mReaders;
   stats["peak_readers"] = mCounts.mPeakReaders;
   stats["weights"] = std::move(files);
-  return JsonAnswer(200, stats);
+  return MakeJsonResponse(200, stats);
 }
 
 }  // namespace
 
-void AddWeightsVerb(CLI::App& aApp) {
-  CLI::App* verb = aApp.add_subcommand("weights", "The weight store");
+void AddWeightsCommand(CLI::App& aApp) {
+  CLI::App* command = aApp.add_subcommand("weights", "Weight store");
   auto options = std::make_shared<ServeOptions>();
-  AddServeOptions(*verb, *options);
-  verb->callback([options] { WeightStore().Run(*options); });
+  AddServeOptions(*command, *options);
+  command->callback([options] { WeightStore().Run(*options); });
 }
 
 }  // namespace rillwall::standin
--- a/src/standin/weights_rate.cpp
+++ b/src/standin/weights_rate.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// \return nothing for an empty text or one that is not a number
+/// \return the number, or nothing if the text is empty or not a number
 std::optional<int64_t> ParseNumber(std::string_view aText) {
   int64_t number = 0;
   const char* end = aText.data() + aText.size();
@@ -23,7 +23,8 @@
 
 Result<ByteRange> ParseRange(std::string_view aHeader, int64_t aSize) {
   constexpr std::string_view kUnit = "bytes=";
-  const Error invalid(ErrorKind::BadRequest, "The range is not satisfiable.");
+  const Error invalid(ErrorKind::BadRequest,
+                      "The range is invalid or outside the file.");
   const size_t dash = aHeader.find('-');
   if (!aHeader.starts_with(kUnit) || dash == std::string_view::npos) {
     return invalid;
@@ -46,12 +47,12 @@
   return range;
 }
 
-Millis RateLimit::Reserve(int64_t aBytes, double aBytesPerMilli, Millis aNow) {
-  if (aBytesPerMilli <= 0) {
+Millis RateLimit::Reserve(int64_t aBytes, double aBytesPerMs, Millis aNow) {
+  if (aBytesPerMs <= 0) {
     return Millis();
   }
   const double now = static_cast<double>(aNow.Count());
-  mFreeAt = std::max(mFreeAt, now) + aBytes / aBytesPerMilli;
+  mFreeAt = std::max(mFreeAt, now) + aBytes / aBytesPerMs;
   return Millis(static_cast<int64_t>(mFreeAt - now));
 }
 
--- a/src/standin/weights_rate.h
+++ b/src/standin/weights_rate.h
@@ -1,5 +1,5 @@
 /// \file
-/// The weight store's rate limit and its byte ranges.
+/// Rate limit and byte ranges of the weight store.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace rillwall::standin {
 
-/// Bytes [mBegin, mEnd) of a file.
+/// The bytes [mBegin, mEnd) of a file.
 struct ByteRange {
   int64_t mBegin = 0;
   int64_t mEnd = 0;
@@ -19,19 +19,22 @@
   bool operator==(const ByteRange&) const = default;
 };
 
-/// Reads a Range header with one range ("bytes=0-99", "bytes=5-", "bytes=-5").
-/// \return the range, or BadRequest if it lies outside the file
+/// Parses a Range header with one range ("bytes=0-99", "bytes=5-", "bytes=-5").
+/// \param aSize size of the file in bytes
+/// \return the range, or BadRequest if it is invalid or outside the file
 Result<ByteRange> ParseRange(std::string_view aHeader, int64_t aSize);
 
-/// Gives each chunk of any reader the next free time on one line.
+/// A rate limit shared by all readers. Chunks are scheduled one after the other
+/// in the order of their reservations.
 class RateLimit {
  public:
-  /// \param aBytesPerMilli the rate; 0: none
+  /// Reserves the time to send a chunk.
+  /// \param aBytesPerMs rate in bytes per millisecond; 0: unlimited
   /// \return how long to wait before the bytes are sent
-  Millis Reserve(int64_t aBytes, double aBytesPerMilli, Millis aNow);
+  Millis Reserve(int64_t aBytes, double aBytesPerMs, Millis aNow);
 
  private:
-  double mFreeAt = 0;  ///< in milliseconds, with fractions
+  double mFreeAt = 0;  ///< end of the last reservation, in milliseconds
 };
 
 }  // namespace rillwall::standin
