--- a/testsuite/crashing/crashing.py
+++ b/testsuite/crashing/crashing.py
@@ -1,15 +1,14 @@
 #!/usr/bin/env python3
-"""A request that ends each replica which begins to run it, sent again at all hosts.
-
-Seen: all four replicas of a plain service ended within 0.3 s, were back after three seconds,
-and ended again, for a minute and a half; callers beside it were refused in between.
-How it came about: one status check ended the two replicas that a host may try for it. Its
-client sent it again to another host, which tried two more; later it came anew, at any host.
-Cause: what a host knew of a request ended with one attempt of its client. No host knew what
-the request had done before, there or at another host, nor that a lost answer had been the
-end of a replica.
-Shown by: the lost tries bear one digest of path, account and body at all hosts, no attempt
-has more of them than its route allows, and each replica refuses connections after its try.
+"""Tests that a request which crashes replicas cannot take down a whole service.
+
+The failure: a request that crashes every replica which runs it is retried by its client at
+other hosts. Each host tries it at two replicas, so four replicas of a service crashed within
+0.3 s, restarted after three seconds, and crashed again for a minute and a half, while other
+callers were refused. Hosts forgot a request after each attempt of the client, did not share
+what it had done at other hosts, and did not treat a lost response as a crashed replica.
+The lost attempts can be recognized: they have the same digest of path, account and body at
+all hosts, no attempt of the client exceeds the attempts that its route allows, and each replica
+refuses connections afterwards.
 
 usage: crashing.py --binary PATH [--keep DIR]
 Ends with "N passed, N failed".
@@ -27,15 +26,15 @@
 from standins import CRASHING  # noqa: E402
 from web import call  # noqa: E402
 
-SEED = 240  # of addresses; nothing else is drawn that matters
+SEED = 240  # determines the addresses; no other random choice affects the result
 CHECKS = ["bounded", "others", "cleared"]
 
 
 class Scenario(Soak):
-    """The soak's world without its faults."""
+    """The hosts and replicas of the soak test without its random faults."""
 
     async def ask(self, node, body):
-        """Returns status, headers and how long the answer took."""
+        """Sends a request; returns status, headers and duration in seconds."""
         begun = time.monotonic()
         name = f"{self.rng.getrandbits(64):016x}"
         got = await call(node.address(), "POST", "/status/a", {
@@ -52,17 +51,17 @@
         return condition()
 
     async def ask_all(self, what):
-        """The request at each host, when all replicas are back: nothing of it may run."""
+        """Sends the crashing request to each host once all replicas are back; none may run it."""
         await self.until(lambda: len(self.services) == 3, 5)
-        await asyncio.sleep(0.7)  # their entries are told
+        await asyncio.sleep(0.7)  # until the hosts know that the replicas are back
         before = self.crashed_so_far()
         answers = [await self.ask(node, CRASHING) for node in self.entries]
-        self.check("bounded", self.crashed_so_far() == before, f"{what}: {self.crashed_so_far() - before} more replicas ended")
+        self.check("bounded", self.crashed_so_far() == before, f"{what}: {self.crashed_so_far() - before} more replicas crashed")
         return answers
 
     async def others(self, when):
         served = [(await self.ask(node, b"another one"))[0] == 200 for node in self.entries]
-        self.check("others", all(served), f"{when}: {served.count(False)} of {len(served)} others are not served")
+        self.check("others", all(served), f"{when}: {served.count(False)} of {len(served)} other requests are not served")
 
     async def crash_three(self):
         for turn in range(30):
@@ -88,24 +87,24 @@
         answers = await self.ask_all("after the third")
         self.check("bounded", all(status == 503 and float(headers.get("retry-after", 0)) > 1
                                   for status, headers, _ in answers),
-                   f"not refused with a time to come back: {[answer[0] for answer in answers]}")
+                   f"not refused with 503 and a Retry-After above 1 s: {[answer[0] for answer in answers]}")
         await self.others("after the third")
         for node in self.nodes[len(self.entries):]:
-            await node.restart(signal.SIGKILL)  # one of them leads
+            await node.restart(signal.SIGKILL)  # one of these hosts is the leader
         await asyncio.sleep(CONTACT_S)
-        await self.ask_all("after the leads were killed")
-        await self.others("after the leads were killed")
+        await self.ask_all("after the leader candidates were killed")
+        await self.others("after the leader candidates were killed")
         await asyncio.gather(*(node.restart(signal.SIGKILL) for node in self.nodes))
-        self.check("others", await self.all_ready(12), "not all hosts are ready again")
+        self.check("others", await self.all_ready(12), "not all hosts became ready after the restart")
         await self.ask_all("after all hosts were killed")
         await asyncio.sleep(CONTACT_S)
         await self.others("after all hosts were killed")
         self.check("bounded", self.crashed_so_far() - at_bound <= MORE_RUNS,
-                   f"{self.crashed_so_far()} replicas ended, {self.crashed_so_far() - at_bound} of them late")
+                   f"{self.crashed_so_far()} replicas crashed, {self.crashed_so_far() - at_bound} of them after the bound was reached")
         await self.clear()
 
     async def clear(self):
-        """An operator who knows better has it run again."""
+        """Clears the suspect request as an operator; then it must run again."""
         verb = [self.args.binary, "suspects", "--node", f"{self.entries[0].ip}:7720"]
         listed = await self.verb(*verb)
         words = listed.split()
@@ -116,7 +115,7 @@
         await asyncio.sleep(CONTACT_S)
         before = self.crashed_so_far()
         await self.ask(self.entries[-1], CRASHING)
-        self.check("cleared", self.crashed_so_far() > before, "what an operator cleared is still refused")
+        self.check("cleared", self.crashed_so_far() > before, "a cleared request is still refused")
 
     @staticmethod
     async def verb(*words):
@@ -128,7 +127,7 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--binary", required=True)
-    parser.add_argument("--keep", help="folder for the logs")
+    parser.add_argument("--keep", help="folder in which the logs are kept")
     args = parser.parse_args()
     args.seed, args.entries, args.leads, args.services, args.faults = SEED, 3, 3, 3, "none"
     lock = take_addresses(SEED)
