--- a/src/standin/callers_run.cpp
+++ b/src/standin/callers_run.cpp
@@ -100,12 +100,12 @@
   double next = static_cast<double>(Now().Count());
   while (true) {
     next += gap(mRandom);
-    const Millis at(static_cast<int64_t>(next));
-    if (at >= mEnd) {
+    const Millis startAt(static_cast<int64_t>(next));
+    if (startAt >= mEnd) {
       co_return;
     }
-    if (at > Now()) {
-      co_await Sleep(at - Now());
+    if (startAt > Now()) {
+      co_await Sleep(startAt - Now());
     }
     asio::co_spawn(mContext, TrackCall(aCall), asio::detached);
   }
--- a/src/standin/driver_nodes.cpp
+++ b/src/standin/driver_nodes.cpp
@@ -16,7 +16,7 @@
 constexpr int64_t kMillisPerSecond = 1000;
 
 /// \return the integer in a header, or -1
-int64_t NumberIn(const HttpResponse& aResponse, std::string_view aName) {
+int64_t IntegerHeader(const HttpResponse& aResponse, std::string_view aName) {
   const std::string* text = aResponse.Find(aName);
   int64_t number = -1;
   if (text) {
@@ -32,8 +32,8 @@
 }  // namespace
 
 Millis RetryAfterOf(const HttpResponse& aResponse) {
-  int64_t wait = NumberIn(aResponse, "Retry-After-Ms");
-  const int64_t seconds = NumberIn(aResponse, "Retry-After");
+  int64_t wait = IntegerHeader(aResponse, "Retry-After-Ms");
+  const int64_t seconds = IntegerHeader(aResponse, "Retry-After");
   if (wait < 0 && seconds >= 0) {
     wait = seconds * kMillisPerSecond;
   }
@@ -55,9 +55,9 @@
     return 0;
   }
   const auto last = static_cast<double>(aValues.size() - 1);
-  const auto place = static_cast<std::ptrdiff_t>(last * aShare);
-  std::nth_element(aValues.begin(), aValues.begin() + place, aValues.end());
-  return aValues[static_cast<size_t>(place)];
+  const auto index = static_cast<std::ptrdiff_t>(last * aShare);
+  std::nth_element(aValues.begin(), aValues.begin() + index, aValues.end());
+  return aValues[static_cast<size_t>(index)];
 }
 
 NodeSet::NodeSet(HttpClient& aClient, std::vector<Endpoint> aNodes,
@@ -92,7 +92,7 @@
 asio::awaitable<Result<NodeResponse>> NodeSet::Ask(HttpRequest aRequest,
                                                    Millis aTimeout) {
   Authorize(aRequest);
-  const Millis end = Now() + mRetryTimeout;
+  const Millis deadline = Now() + mRetryTimeout;
   NodeResponse answer;
   while (true) {
     const Endpoint node = Pick();
@@ -109,7 +109,7 @@
       answer.mMayHaveRun |= sent.value().mStatus != kTooMany;
       pause = RetryAfterOf(sent.value());
     }
-    if (Now() > end) {
+    if (Now() > deadline) {
       co_return Error(ErrorKind::Timeout, "No node accepted " +
                                               aRequest.mMethod + " " +
                                               aRequest.mTarget + ".");
--- a/src/standin/engine_core.cpp
+++ b/src/standin/engine_core.cpp
@@ -21,9 +21,10 @@
     : mSettings(aSettings), mVersion(aVersion) {}
 
 StreamHandle EngineCore::Submit(StreamRequest aRequest, Millis aNow) {
-  const bool free = Count(StreamState::Prefill) + Count(StreamState::Decode) <
-                    mSettings.mSlots;
-  if (!free && Count(StreamState::Waiting) >= mSettings.mQueue) {
+  const bool slotFree =
+      Count(StreamState::Prefill) + Count(StreamState::Decode) <
+      mSettings.mSlots;
+  if (!slotFree && Count(StreamState::Waiting) >= mSettings.mQueue) {
     return nullptr;
   }
   const AnswerText answer =
--- a/src/standin/trainer_run.cpp
+++ b/src/standin/trainer_run.cpp
@@ -60,10 +60,10 @@
 }
 
 std::string TrainerRun::Prompt(uint64_t aStep, size_t aGroup) const {
-  const size_t place = (aStep * mOptions.mGroups + aGroup) % mInputs.size();
-  return MarkedPrompt(mInputs[place], mOptions.mName + " " +
-                                          std::to_string(aStep) + "/" +
-                                          std::to_string(aGroup));
+  const size_t line = (aStep * mOptions.mGroups + aGroup) % mInputs.size();
+  return MarkedPrompt(mInputs[line], mOptions.mName + " " +
+                                         std::to_string(aStep) + "/" +
+                                         std::to_string(aGroup));
 }
 
 std::string TrainerRun::Target(const std::string& aRest) const {
@@ -136,7 +136,7 @@
 asio::awaitable<bool> TrainerRun::Announce(int64_t aVersion) {
   // Logged first, because samples of this version may arrive before the
   // response to the announcement.
-  const bool again = mProgress.mNewestVersion >= aVersion;
+  const bool announcedBefore = mProgress.mNewestVersion >= aVersion;
   mProgress.mNewestVersion = aVersion;
   mLog.WriteVersion(aVersion);
   const std::string path =
@@ -158,9 +158,9 @@
   }
   // A conflict is a success if an earlier attempt, whose response was lost, may
   // have announced the version.
-  const bool known = answer.value().mResponse.mStatus == kConflict &&
-                     (again || answer.value().mMayHaveRun);
-  if (!IsSuccess(answer.value().mResponse) && !known) {
+  const bool alreadyAnnounced = answer.value().mResponse.mStatus == kConflict &&
+                                (announcedBefore || answer.value().mMayHaveRun);
+  if (!IsSuccess(answer.value().mResponse) && !alreadyAnnounced) {
     GiveUp("The version was refused: " + answer.value().mResponse.mBody);
     co_return false;
   }
@@ -265,9 +265,9 @@
   }
   const size_t received = mProgress.mSteps[aStep].mGroups.size();
   const size_t half = mOptions.mGroups / 2;
-  const bool passed =
+  const bool passedHalf =
       received >= half && received - record.mGroups.size() < half;
-  if (mOptions.mSwapMidStep && passed) {
+  if (mOptions.mSwapMidStep && passedHalf) {
     asio::co_spawn(mContext, AnnounceMidStep(), asio::detached);
   }
   mStateChanged.cancel();
@@ -304,9 +304,10 @@
 }
 
 asio::awaitable<bool> TrainerRun::Receive(uint64_t aStep) {
-  Millis end = Now() + Millis(mOptions.mPatienceSeconds * kMillisPerSecond);
-  size_t before = mProgress.mSteps[aStep].mGroups.size();
-  bool complete = before == mOptions.mGroups;
+  Millis deadline =
+      Now() + Millis(mOptions.mPatienceSeconds * kMillisPerSecond);
+  size_t receivedBefore = mProgress.mSteps[aStep].mGroups.size();
+  bool complete = receivedBefore == mOptions.mGroups;
   while (!complete && !mFinished) {
     const auto pulled = co_await Pull(aStep);
     if (!pulled.has_value()) {
@@ -315,11 +316,11 @@
     }
     complete = pulled.value();
     const size_t received = mProgress.mSteps[aStep].mGroups.size();
-    if (received > before) {
-      before = received;
-      end = Now() + Millis(mOptions.mPatienceSeconds * kMillisPerSecond);
+    if (received > receivedBefore) {
+      receivedBefore = received;
+      deadline = Now() + Millis(mOptions.mPatienceSeconds * kMillisPerSecond);
     }
-    if (!complete && Now() > end) {
+    if (!complete && Now() > deadline) {
       GiveUp("No group was received for " +
              std::to_string(mOptions.mPatienceSeconds) + " s.");
       co_return false;
--- a/src/standin/weights.cpp
+++ b/src/standin/weights.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr char kStatsPath[] = "/stats";
-constexpr char kPrefix[] = "/weights/";
+constexpr char kWeightsPrefix[] = "/weights/";
 constexpr int64_t kMaxChunk = 256 * 1024;
 constexpr int64_t kMinChunk = 4 * 1024;
 constexpr double kBytesPerMsPerMBps = 1000;
@@ -84,8 +84,9 @@
 asio::awaitable<void> WeightStore::Handle(const HttpRequest& aRequest,
                                           HttpExchange& aExchange) {
   const std::string_view path = aRequest.Path();
-  const bool isWeights = path.starts_with(kPrefix);
-  const std::string name(isWeights ? path.substr(sizeof(kPrefix) - 1) : "");
+  const bool isWeights = path.starts_with(kWeightsPrefix);
+  const std::string name(isWeights ? path.substr(sizeof(kWeightsPrefix) - 1)
+                                   : "");
   const auto found = mSizes.find(name);
   if (aRequest.mMethod == "GET" && found != mSizes.end()) {
     co_await Read(aRequest, found->second, aExchange);
@@ -151,8 +152,8 @@
   if (aBytesPerMs <= 0) {
     return kMaxChunk;
   }
-  const auto fair = static_cast<int64_t>(aBytesPerMs * kChunkMillis);
-  return std::clamp(fair, kMinChunk, kMaxChunk);
+  const auto target = static_cast<int64_t>(aBytesPerMs * kChunkMillis);
+  return std::clamp(target, kMinChunk, kMaxChunk);
 }
 
 asio::awaitable<void> WeightStore::Stream(ByteRange aRange,
