--- a/src/librillwall_transport/http_client.cpp
+++ b/src/librillwall_transport/http_client.cpp
@@ -14,7 +14,8 @@
 using TimePoint = std::chrono::steady_clock::time_point;
 
 constexpr size_t kMaxIdlePerEndpoint = 256;
-/// Less than the idle timeout of servers, so that they rarely close first.
+/// Less than the idle timeout of servers, so that servers rarely close an idle
+/// connection before this client does.
 constexpr std::chrono::seconds kMaxIdleTime{20};
 constexpr std::chrono::seconds kSweepInterval{5};
 
@@ -74,9 +75,9 @@
                                              Millis aTimeout);
   asio::awaitable<Result<std::unique_ptr<HttpStream>>> Open(
       Endpoint aEndpoint, HttpRequest aRequest, Millis aTimeout);
-  /// Closes the idle connections to an endpoint after a reused one timed out.
-  /// The others may have stopped responding as well, and trying them one by one
-  /// would cost a timeout each.
+  /// Closes the idle connections to an endpoint after a request on a reused
+  /// connection timed out. The idle ones may have stopped responding as well,
+  /// and trying them one by one would cost a timeout each.
   void DropIdle(const Endpoint& aEndpoint);
   /// Closes connections that were idle for too long. mMutex must be held.
   void Sweep(TimePoint aNow);
@@ -85,7 +86,8 @@
   const HttpClientConnection::Counter mOpenCount =
       std::make_shared<std::atomic<size_t>>(0);
   std::optional<TlsKeys> mKeys;
-  std::optional<Error> mKeysError;  ///< of loading them at construction
+  /// The error of loading mKeys at construction, if it failed.
+  std::optional<Error> mKeysError;
   std::atomic<uint64_t> mConnectionsMade{0};
   Millis mConnectTimeout{std::numeric_limits<int64_t>::max()};
   std::function<Millis()> mSuspendedFor = SuspendedFor;
--- a/src/librillwall_transport/kv_client.cpp
+++ b/src/librillwall_transport/kv_client.cpp
@@ -26,8 +26,9 @@
   return {ErrorKind::KvUncertain, aDetail};
 }
 
-/// \return whether a 503 response comes from the store behind the gateway, so
-/// that a write may have been applied, as after "request timed out"
+/// \return whether a write that got a 503 response may have been applied: if
+/// the response comes from the store behind the gateway, as "request timed out"
+/// does, unless the store had no leader
 bool MayHaveBeenApplied(const std::string& aBody) {
   const Result<json::object> body = ParseJsonObject(aBody);
   if (!body) {
@@ -160,8 +161,8 @@
   Result<int64_t> lease = co_await Call<int64_t>(
       CallKind::Write, "/v3/lease/grant", std::move(body), &kv::ReadLease);
   if (!lease && lease.error().Kind() == ErrorKind::KvUncertain) {
-    // A lease to which no key is attached expires without effect, so that
-    // nothing was written.
+    // The store may have granted the lease. As no key is attached to it, it
+    // expires without effect, so the caller's value was certainly not written.
     co_return Unavailable(lease.error().Detail());
   }
   co_return lease;
--- a/src/standin/trainer_run.cpp
+++ b/src/standin/trainer_run.cpp
@@ -134,8 +134,8 @@
 }
 
 asio::awaitable<bool> TrainerRun::Announce(int64_t aVersion) {
-  // Logged first, because samples of this version may arrive before the
-  // response to the announcement.
+  // The version is logged before it is announced, because samples of it may
+  // arrive before the response to the announcement.
   const bool announcedBefore = mProgress.mNewestVersion >= aVersion;
   mProgress.mNewestVersion = aVersion;
   mLog.WriteVersion(aVersion);
--- a/testsuite/crashing/crashing.py
+++ b/testsuite/crashing/crashing.py
@@ -90,10 +90,10 @@
                    f"not refused with 503 and a Retry-After above 1 s: {[answer[0] for answer in answers]}")
         await self.others("after the third")
         for node in self.nodes[len(self.entries):]:
-            await node.restart(signal.SIGKILL)  # one of these hosts is the leader
+            await node.restart(signal.SIGKILL)  # one of these hosts is the lead
         await asyncio.sleep(CONTACT_S)
-        await self.ask_all("after the leader candidates were killed")
-        await self.others("after the leader candidates were killed")
+        await self.ask_all("after the candidates for the lead were killed")
+        await self.others("after the candidates for the lead were killed")
         await asyncio.gather(*(node.restart(signal.SIGKILL) for node in self.nodes))
         self.check("others", await self.all_ready(12), "not all hosts became ready after the restart")
         await self.ask_all("after all hosts were killed")
