--- a/src/include/rillwall/crash_sync.h
+++ b/src/include/rillwall/crash_sync.h
@@ -4,11 +4,11 @@
 ///
 /// The host that sees a replica end writes the record to the store itself. The
 /// record therefore counts even if no host leads or the lead changes at that
-/// moment, and it outlives all hosts. The lead, and a helper that stands in for
-/// it, watch these keys and pass new records on with their next answers to view
+/// moment, and it outlives all hosts. The lead, and a helper that acts for it,
+/// watch these keys and pass new records on with their next answers to view
 /// requests. A host that gets no such answers reads the records from the store
-/// together with the registry. A record thus spreads as fast as the news that a
-/// replica leaves, within the bound for that, even when the lead is lost.
+/// together with the registry. A record thus spreads as fast as the report that
+/// a replica leaves, within the bound for that, even when the lead is lost.
 ///
 /// Store calls: one change for up to 32 records that a host made within a few
 /// ms, none while nothing crashes, and one watch every 1.5 s, whatever the
--- a/src/include/rillwall/lead_claim.h
+++ b/src/include/rillwall/lead_claim.h
@@ -45,9 +45,9 @@
   asio::awaitable<void> Run();
   /// Runs as a fallback on a host that is no candidate: claims once no lead has
   /// been known for some time, as all candidates may be gone.
-  /// \param aMaxLeaderless time without a known lead before this host claims;
-  /// must differ between hosts
-  asio::awaitable<void> RunAsFallback(Millis aMaxLeaderless);
+  /// \param aMaxTimeWithoutLead time without a known lead before this host
+  /// claims; must differ between hosts
+  asio::awaitable<void> RunAsFallback(Millis aMaxTimeWithoutLead);
   /// Gives up the claim at once.
   asio::awaitable<void> Resign();
 
--- a/src/include/rillwall/node_directory.h
+++ b/src/include/rillwall/node_directory.h
@@ -1,14 +1,14 @@
 /// \file
 /// The other nodes that this node knows of.
 ///
-/// Nodes regularly ask the lead, the elected leader, for updates. The lead
-/// therefore knows which nodes exist, and tells each node about some of them.
+/// Nodes regularly ask the lead, the elected host, for updates. The lead
+/// therefore knows which nodes exist, and advertises some of them to each node.
 /// The list is not a membership: nothing relies on a listed node being alive.
 /// It is used to find nodes that relay calls to the store, and to find the
 /// candidates for the lead while there is none. A dozen nodes are enough for
-/// both. The size of what is told therefore does not grow with the number of
-/// nodes, and it is sent again only when one of the listed nodes is added or
-/// removed.
+/// both. The size of the advertised list therefore does not grow with the
+/// number of nodes, and it is sent again only when one of the listed nodes is
+/// added or removed.
 ///
 /// With H nodes, a contact of a known node costs a lookup and one of a new node
 /// O(log H). Silent nodes are removed once a second, in O(H). Pure: the current
@@ -33,7 +33,7 @@
   bool operator==(const NodeEntry&) const = default;
 };
 
-/// Nodes known to this node, and the subset of them that it tells others.
+/// Nodes known to this node, and the subset that it advertises to others.
 class NodeDirectory {
  public:
   /// Records that a node has contacted this one.
@@ -43,15 +43,15 @@
   /// \return known nodes by address, without nodes that were silent while
   /// others made contact
   std::vector<NodeEntry> List() const;
-  /// \return the nodes that other nodes are told: all of them, or a fixed
-  /// subset of each kind if there are many
-  std::vector<NodeEntry> Told() const;
+  /// \return the nodes that are advertised to other nodes: all of them, or a
+  /// fixed subset of each kind if there are many
+  std::vector<NodeEntry> Advertised() const;
   /// \return number of known hosts that take clients, rounded up so that it
   /// rarely changes
   size_t Hosts() const;
   /// \return whether List() contains the node
   bool Knows(const std::string& aAddress) const;
-  /// \return a hash of the nodes that Told() returns
+  /// \return a hash of the nodes that Advertised() returns
   uint64_t Tag() const { return mTag; }
   /// \param aSelf address to leave out
   /// \return addresses of nodes that can relay calls. Entry hosts come first,
@@ -76,8 +76,7 @@
   /// nodes over the availability zones, and every node selects the same ones.
   using NodesByHash = std::map<uint64_t, NodeEntry>;
 
-  /// Adds a node to those that others are told, if its hash is among the
-  /// lowest.
+  /// Adds a node to the advertised ones, if its hash is among the lowest.
   void Consider(const NodeEntry& aNode);
   /// Removes nodes that have become silent.
   void ForgetSilent();
@@ -86,8 +85,8 @@
 
   std::map<std::string, State> mNodes;  ///< by address
   size_t mHosts = 0;                    ///< nodes in mNodes that take clients
-  NodesByHash mToldEntries;             ///< hosts that take clients
-  NodesByHash mToldOthers;
+  NodesByHash mAdvertisedEntries;       ///< hosts that take clients
+  NodesByHash mAdvertisedOthers;
   uint64_t mTag = 0;
   Millis mNewestContact;  ///< time of the latest contact of any node
   Millis mLastSweep;      ///< last time silent nodes were removed
--- a/src/include/rillwall/registry_table.h
+++ b/src/include/rillwall/registry_table.h
@@ -4,7 +4,7 @@
 ///
 /// The number of replicas that a host needs depends on its own load, not on the
 /// size of the service. Of a service with many replicas, each host is therefore
-/// told a subset: some replicas of its own availability zone and fewer of the
+/// sent a subset: some replicas of its own availability zone and fewer of the
 /// others, starting at a position on a hash ring that is derived from the name
 /// of the host. Subsets of different hosts overlap little, so that each replica
 /// is used by about the same number of hosts. A replica that is added or
@@ -49,9 +49,9 @@
 /// Registry entries, and the subsets of their replicas for single hosts.
 class RegistryTable {
  public:
-  /// Largest service of which every host is told all replicas.
+  /// Largest service of which every host is sent all replicas.
   static constexpr size_t kFullListLimit = 128;
-  /// Replicas of a larger service that a host is told: many times what the
+  /// Replicas of a larger service that a host is sent: many times what the
   /// texts or requests of one host need, also after the loss of its zone.
   static constexpr size_t kDefaultSubset = 32;
 
@@ -80,11 +80,11 @@
   size_t Size() const { return mEntries.size(); }
   /// \return a counter that increases with each change of a replica
   uint64_t Changes() const { return mChanges; }
-  /// \return whether any service is too large to be told to every host in full
+  /// \return whether any service is too large to be sent to every host in full
   bool Large() const;
   std::vector<Replica> All() const;
 
-  /// \return the replicas that a host is told: small services in full, and a
+  /// \return the replicas that a host is sent: small services in full, and a
   /// subset without draining replicas of the others
   std::vector<Replica> SubsetFor(const SubsetRequest& aRequest) const;
   /// \param aWanted number of replicas by service; at least kFullListLimit
--- a/src/include/rillwall/replica_log.h
+++ b/src/include/rillwall/replica_log.h
@@ -5,7 +5,7 @@
 /// Pure: no I/O and no clock. Sequence numbers are comparable within one run of
 /// the node that assigns them. Across runs, a digest of the whole list shows
 /// that a listener already has it, so that after a change of the lead (the
-/// elected leader) an unchanged list is not sent again. The digest also shows a
+/// elected host) an unchanged list is not sent again. The digest also shows a
 /// listener that it missed or misread a change; it then requests the whole
 /// list.
 
@@ -52,7 +52,7 @@
 class ReplicaLog {
  public:
   /// Replaces the replicas with a complete list.
-  void Take(const std::vector<Replica>& aReplicas);
+  void Replace(const std::vector<Replica>& aReplicas);
   /// \param aCursor state of the listener; its number must be 0 if another run
   /// assigned it
   /// \return the update for the listener
@@ -84,7 +84,7 @@
   /// \param aRun run of the node that sent it
   /// \return false if the resulting list differs from the sender's. The copy is
   /// then cleared, and the whole list must be requested
-  bool Take(const std::string& aRun, const ReplicaDelta& aDelta);
+  bool Apply(const std::string& aRun, const ReplicaDelta& aDelta);
   const std::string& Run() const { return mRun; }
   ReplicaCursor Cursor() const { return {mNumber, mDigest}; }
   void Clear();
--- a/src/include/rillwall/replica_pool.h
+++ b/src/include/rillwall/replica_pool.h
@@ -147,7 +147,7 @@
   /// \param aExtraTexts number of texts that would be added there
   /// \return ms per event of a text at the replica, 0 if unknown
   double PaceAt(const std::string& aId, int64_t aExtraTexts, Millis aNow) const;
-  /// Records the version that a replica serves, as told by a response or an
+  /// Records the version that a replica serves, as named by a response or an
   /// order.
   void UpdateVersion(const std::string& aId, const std::string& aModel,
                      int64_t aVersion);
--- a/src/include/rillwall/usage_meter.h
+++ b/src/include/rillwall/usage_meter.h
@@ -3,11 +3,11 @@
 /// window.
 ///
 /// Every host that accepts requests counts its own (UsageMeter). It reports the
-/// counts to the lead, the elected leader, along with its questions for the
-/// view: that needs no extra message, and bytes only for accounts with new
-/// counts. The lead stores the counts by the process that reported them
-/// (UsageTotals), and reports each window once: when every host that it hears
-/// from has reported, or at the last moment before the report is due.
+/// counts to the lead, the elected host, along with its view requests: that
+/// needs no extra message, and bytes only for accounts with new counts. The lead
+/// stores the counts by the process that reported them (UsageTotals), and
+/// reports each window once: when every host in contact with it has reported,
+/// or at the last moment before the report is due.
 ///
 /// Counts of a window are always reported in full, so that repeated reports are
 /// idempotent. Hosts retain them long enough to report them again to a new
@@ -15,8 +15,8 @@
 /// most A numbers per window, the lead stores H x A x W of them, and a report
 /// costs O(H x A).
 ///
-/// A host that is killed loses the counts since its last question. Pure: the
-/// current time and the time of day are arguments.
+/// A host that is killed loses the counts since its last view request. Pure:
+/// the current time and the time of day are arguments.
 
 #pragma once
 
@@ -51,11 +51,12 @@
   /// Counts a request of an account that started to run.
   void Count(const std::string& aAccount, int64_t aWallMs);
 
-  /// \param aRun process of the lead; a new process is sent everything again
+  /// \param aRun process of the lead; a new process is sent all retained
+  /// counts again
   /// \return complete counts of the windows that have changed for it
   WindowCounts UnreportedCounts(const std::string& aRun);
   /// Records that the lead has received the last result of UnreportedCounts().
-  void Told();
+  void RecordAcknowledgement();
   /// \return whether the lead has received all counts
   bool AllReported() const;
 
@@ -79,7 +80,7 @@
  public:
   /// Stores the reported counts of a host.
   /// \param aRun process of the host
-  void Told(const std::string& aRun, const WindowCounts& aCounts);
+  void RecordCounts(const std::string& aRun, const WindowCounts& aCounts);
   /// Records that a host has reported everything that it counted until now.
   /// \param aAddress address of the host
   void RecordContact(const std::string& aAddress, Millis aNow);
--- a/src/include/rillwall/usage_reporter.h
+++ b/src/include/rillwall/usage_reporter.h
@@ -56,7 +56,7 @@
   /// Records the counts that a host reported.
   /// \param aText whole counts of the windows that changed; empty if the host
   /// has no new counts
-  void Take(const NodeEntry& aFrom, const std::string& aText);
+  void RecordReport(const NodeEntry& aFrom, const std::string& aText);
 
   /// Sends reports while this node leads. Runs until the node stops.
   asio::awaitable<void> Run();
@@ -92,7 +92,7 @@
   LeadClaim& mLead;
   UsagePort& mPort;
   Millis mReportDelay{10000};
-  UsageTotals mBook;
+  UsageTotals mTotals;
   Jitter mJitter;
   int64_t mFence = 0;  ///< of the claim for which mFixed was read; 0: none
   Millis mLeadingSince;
--- a/src/include/rillwall/view_exchange.h
+++ b/src/include/rillwall/view_exchange.h
@@ -77,7 +77,7 @@
   /// \return what changed, or nothing if the source gave no usable answer
   asio::awaitable<std::optional<ViewUpdate>> Ask(ViewSource aSource);
   /// \return all replicas of the last answer
-  std::vector<Replica> Told() const { return mMirror.All(); }
+  std::vector<Replica> ReportedReplicas() const { return mMirror.All(); }
   /// \return the candidate that caches an ended step for all nodes, chosen by a
   /// hash of both names; nothing if no candidate is known
   std::optional<std::string> ArchiveHostOf(const std::string& aStep) const;
@@ -117,7 +117,7 @@
   void Follows(bool aFollows);
 
   /// Answers another node's view request. The status is 503 if this node has
-  /// never read the store itself; a header tells if the reason is that the
+  /// never read the store itself; a header shows if the reason is that the
   /// store does not answer.
   HttpResponse Answer(const HttpRequest& aRequest);
   /// Answers with the compressed text of the configuration.
--- a/src/include/rillwall/view_plan.h
+++ b/src/include/rillwall/view_plan.h
@@ -4,16 +4,16 @@
 ///
 /// The view must be recent enough that a draining replica gets no new requests
 /// after the operator's bound. On the other hand, a slow source must not be
-/// asked more often because it is slow. A node therefore asks one question at a
+/// asked more often because it is slow. A node therefore sends one request at a
 /// time. A source that fails to answer is not asked again for an exponentially
 /// growing, randomized pause. In the meantime the node asks a helper: a
-/// candidate for the lead (the elected leader) that reads the store on behalf
+/// candidate for the lead (the elected host) that reads the store on behalf
 /// of all nodes that ask it. Only a node that gets no answer from any node
 /// reads the store itself.
 ///
-/// With H nodes and C candidates, one period of questions costs H answers of
+/// With H nodes and C candidates, one period of requests costs H answers of
 /// the lead, or H answers of the helpers and C reads of the store. While the
-/// lead does not answer, the questions to it drop to a quarter. A store that no
+/// lead does not answer, the requests to it drop to a quarter. A store that no
 /// source can reach is read by H nodes within eight seconds.
 ///
 /// Pure: the current time is an argument, and random numbers come from a seed.
@@ -46,7 +46,7 @@
   bool operator==(const ViewContacts&) const = default;
 };
 
-/// Schedules the questions of one node to its sources.
+/// Schedules the requests of one node to its sources.
 class ViewPlan {
  public:
   /// \param aBound time after which a draining replica must get no new requests
@@ -58,7 +58,7 @@
   Millis PollInterval() const;
   /// \return interval at which other sources are asked
   Millis AskInterval() const;
-  /// \return timeout of a question: a multiple of the usual answer time, within
+  /// \return timeout of a request: a multiple of the usual answer time, within
   /// limits that depend on the bound
   Millis Limit() const;
 
@@ -71,7 +71,7 @@
   /// nodes at the same time.
   void LeadChanged(Millis aNow);
 
-  /// Asks the sources at once, because the node needs more than it was told.
+  /// Asks the sources at once, because the node needs more than it was sent.
   void AskNow(Millis aNow);
 
   /// \return the source to ask now, or nothing if none is due
@@ -83,7 +83,8 @@
   /// Records that a source sent its list.
   /// \param aAsked when the source was asked
   /// \param aAge age of the list when the source answered
-  void Told(ViewSource aSource, Millis aAsked, Millis aAge, Millis aNow);
+  void RecordAnswer(ViewSource aSource, Millis aAsked, Millis aAge,
+                    Millis aNow);
   /// Records that the store named the node that leads.
   void LeadFound(Millis aNow);
   /// Records that a source sent no answer, or no useful one.
@@ -93,14 +94,14 @@
 
   /// \return whether the known list is recent enough to wait for a source
   bool Fresh(Millis aNow) const;
-  /// \return consecutive questions that a source did not answer
+  /// \return consecutive requests that a source did not answer
   int Misses(ViewSource aSource) const { return Of(aSource).mMisses; }
 
  private:
   /// Answer history of one source.
   struct SourceState {
-    int mMisses = 0;    ///< consecutive questions without an answer
-    Millis mNextAskAt;  ///< time of the next question
+    int mMisses = 0;    ///< consecutive requests without an answer
+    Millis mNextAskAt;  ///< time of the next request
   };
   static constexpr size_t kSources = 4;
 
--- a/src/include/rillwall/wire_convert.h
+++ b/src/include/rillwall/wire_convert.h
@@ -2,7 +2,7 @@
 /// Conversions between the internal types and the messages of node.proto.
 ///
 /// FromWire validates received messages and returns BadRequest for anything out
-/// of bounds. FitsWire tells in advance whether a peer would accept a value.
+/// of bounds. FitsWire checks in advance whether a peer would accept a value.
 /// ToWire of a GossipState omits entries that peers would reject, so that one
 /// invalid entry cannot make them reject the whole message.
 
--- a/src/librillwall_coordination/breaker.h
+++ b/src/librillwall_coordination/breaker.h
@@ -29,7 +29,7 @@
   Millis mSlowStart{10000};    ///< from closing until all calls are admitted
 };
 
-/// Circuit breaker of one upstream, told about every call by its owner.
+/// Circuit breaker of one upstream, informed about every call by its owner.
 class Breaker {
  public:
   explicit Breaker(const BreakerLimits& aLimits) : mLimits(aLimits) {}
@@ -46,7 +46,7 @@
   void Failed(uint64_t aTicket, Millis aNow);
   /// Records that the upstream refused a call.
   void Refused(uint64_t aTicket, Millis aNow);
-  /// Records that a call was cancelled, which tells nothing about the upstream.
+  /// Records that a call was cancelled, which shows nothing about the upstream.
   void Cancelled(uint64_t aTicket, Millis aNow);
 
   BreakerState State() const { return mState; }
--- a/src/librillwall_coordination/dispatcher_queue.cpp
+++ b/src/librillwall_coordination/dispatcher_queue.cpp
@@ -281,7 +281,7 @@
   EngineState& engine = *call.mEngine;
   const CallClass kind = call.mSpec.mClass;
   const bool sameGeneration = call.mGeneration == engine.Info().mGeneration;
-  // Any end of a preempted call other than Done tells nothing about its engine.
+  // Any end of a preempted call other than Done shows nothing about its engine.
   const bool preempted = call.mStage != CallStage::Started;
   const bool failed = aOutcome != CallOutcome::Done;
   const CallOutcome outcome =
--- a/src/librillwall_coordination/many_replicas_test.cpp
+++ b/src/librillwall_coordination/many_replicas_test.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Load test: thousands of idle replicas and few requests. What a host knows
-/// and is told must depend on its requests, not on the number of replicas.
+/// and is sent must depend on its requests, not on the number of replicas.
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/src/librillwall_coordination/node_directory.cpp
+++ b/src/librillwall_coordination/node_directory.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 /// Silence after which a node is removed, measured while other nodes make
-/// contact. It covers some five missed questions and a change of the lead; a
+/// contact. It covers some five missed requests and a change of the lead; a
 /// node that is silent longer is gone or cannot reach this one.
 constexpr Millis kForgetAfter{8000};
 constexpr Millis kSweepInterval{1000};
-/// Nodes of each kind that others are told. A node tries two or three of them;
-/// with a dozen, enough remain after the loss of an availability zone and a
-/// quarter of the others.
-constexpr size_t kMaxToldPerKind = 12;
+/// Nodes of each kind that are advertised to others. A node tries two or three
+/// of them; with a dozen, enough remain after the loss of an availability zone
+/// and a quarter of the others.
+constexpr size_t kMaxAdvertisedPerKind = 12;
 /// The number of hosts is rounded up to a multiple of this.
 constexpr size_t kHostCountStep = 16;
 
@@ -46,15 +46,16 @@
 }
 
 void NodeDirectory::Consider(const NodeEntry& aNode) {
-  NodesByHash& told = aNode.mTakesClients ? mToldEntries : mToldOthers;
+  NodesByHash& advertised =
+      aNode.mTakesClients ? mAdvertisedEntries : mAdvertisedOthers;
   const uint64_t hash = HashOf(aNode.mAddress);
-  const bool full = told.size() >= kMaxToldPerKind;
-  if (full && hash > told.rbegin()->first) {
+  const bool full = advertised.size() >= kMaxAdvertisedPerKind;
+  if (full && hash > advertised.rbegin()->first) {
     return;
   }
-  told.emplace(hash, aNode);
-  if (told.size() > kMaxToldPerKind) {
-    told.erase(std::prev(told.end()));
+  advertised.emplace(hash, aNode);
+  if (advertised.size() > kMaxAdvertisedPerKind) {
+    advertised.erase(std::prev(advertised.end()));
   }
   UpdateTag();
 }
@@ -69,8 +70,8 @@
 }
 
 void NodeDirectory::Rebuild() {
-  mToldEntries.clear();
-  mToldOthers.clear();
+  mAdvertisedEntries.clear();
+  mAdvertisedOthers.clear();
   mHosts = 0;
   UpdateTag();
   for (const auto& [address, state] : mNodes) {
@@ -81,7 +82,7 @@
 
 void NodeDirectory::UpdateTag() {
   std::string text;
-  for (const NodeEntry& node : Told()) {
+  for (const NodeEntry& node : Advertised()) {
     text += node.mAddress;
     text += node.mTakesClients ? '+' : '-';
     text += node.mZone;
@@ -108,9 +109,9 @@
   return nodes;
 }
 
-std::vector<NodeEntry> NodeDirectory::Told() const {
+std::vector<NodeEntry> NodeDirectory::Advertised() const {
   std::vector<NodeEntry> nodes;
-  for (const NodesByHash* choice : {&mToldEntries, &mToldOthers}) {
+  for (const NodesByHash* choice : {&mAdvertisedEntries, &mAdvertisedOthers}) {
     for (const auto& [hash, node] : *choice) {
       nodes.push_back(node);
     }
--- a/src/librillwall_coordination/node_directory_test.cpp
+++ b/src/librillwall_coordination/node_directory_test.cpp
@@ -23,8 +23,8 @@
   CPPUNIT_TEST(TagChangesWithTheList);
   CPPUNIT_TEST(AdoptedListReplacesTheOldOne);
   CPPUNIT_TEST(HostCountIsRoundedUp);
-  CPPUNIT_TEST(FewOfManyNodesAreTold);
-  CPPUNIT_TEST(ToldNodesChangeOnlyWhenOneOfThemDoes);
+  CPPUNIT_TEST(FewOfManyNodesAreAdvertised);
+  CPPUNIT_TEST(AdvertisedNodesChangeOnlyWhenOneOfThemDoes);
   CPPUNIT_TEST_SUITE_END();
 
   NodeDirectory mNodes;
@@ -93,20 +93,20 @@
     }
   }
 
-  void FewOfManyNodesAreTold() {
+  void FewOfManyNodesAreAdvertised() {
     ContactMany();
     CPPUNIT_ASSERT_EQUAL(size_t{276}, mNodes.List().size());
-    CPPUNIT_ASSERT_EQUAL(size_t{24}, mNodes.Told().size());
-    // A node that adopts this list tells the same one.
+    CPPUNIT_ASSERT_EQUAL(size_t{24}, mNodes.Advertised().size());
+    // A node that adopts this list advertises the same one.
     NodeDirectory other;
-    other.Adopt(mNodes.Told(), kNow);
+    other.Adopt(mNodes.Advertised(), kNow);
     CPPUNIT_ASSERT_EQUAL(mNodes.Tag(), other.Tag());
     CPPUNIT_ASSERT_EQUAL(size_t{12}, other.Candidates("self").size());
   }
 
   // The contacts of 300 nodes after a start, one after the other, must not each
-  // change the list that all nodes are told.
-  void ToldNodesChangeOnlyWhenOneOfThemDoes() {
+  // change the list that is advertised to all nodes.
+  void AdvertisedNodesChangeOnlyWhenOneOfThemDoes() {
     ContactMany();
     uint64_t tag = mNodes.Tag();
     int changes = 0;
@@ -116,16 +116,16 @@
       tag = mNodes.Tag();
     }
     CPPUNIT_ASSERT(changes < 30);
-    // A told node becomes silent, and another one takes its place.
-    const std::string named = mNodes.Told().front().mAddress;
+    // An advertised node becomes silent, and another one takes its place.
+    const std::string named = mNodes.Advertised().front().mAddress;
     for (const NodeEntry& node : mNodes.List()) {
       if (node.mAddress != named) {
         mNodes.RecordContact(node, kNow + Millis(9000));
       }
     }
     mNodes.RecordContact(kDisk, kNow + Millis(10000));
-    CPPUNIT_ASSERT(mNodes.Told().front().mAddress != named);
-    CPPUNIT_ASSERT_EQUAL(size_t{24}, mNodes.Told().size());
+    CPPUNIT_ASSERT(mNodes.Advertised().front().mAddress != named);
+    CPPUNIT_ASSERT_EQUAL(size_t{24}, mNodes.Advertised().size());
     CPPUNIT_ASSERT(tag != mNodes.Tag());
   }
 };
--- a/src/librillwall_coordination/replica_log.cpp
+++ b/src/librillwall_coordination/replica_log.cpp
@@ -46,7 +46,7 @@
   return aReplicas;
 }
 
-void ReplicaLog::Take(const std::vector<Replica>& aReplicas) {
+void ReplicaLog::Replace(const std::vector<Replica>& aReplicas) {
   const int64_t number = mNumber + 1;
   std::set<std::string> listed;
   for (const Replica& replica : aReplicas) {
@@ -97,7 +97,7 @@
   return delta;
 }
 
-bool ReplicaMirror::Take(const std::string& aRun, const ReplicaDelta& aDelta) {
+bool ReplicaMirror::Apply(const std::string& aRun, const ReplicaDelta& aDelta) {
   if (aDelta.mFull) {
     Clear();
   }
--- a/src/librillwall_coordination/replica_log_test.cpp
+++ b/src/librillwall_coordination/replica_log_test.cpp
@@ -40,21 +40,21 @@
     ReplicaCursor cursor = mMirror.Cursor();
     cursor.mNumber = mMirror.Run() == "run" ? cursor.mNumber : 0;
     ReplicaDelta delta = mLog.Since(cursor);
-    CPPUNIT_ASSERT(mMirror.Take("run", delta));
+    CPPUNIT_ASSERT(mMirror.Apply("run", delta));
     return delta;
   }
 
   void NewListenerGetsFullList() {
-    mLog.Take({ReplicaOf("a"), ReplicaOf("b")});
+    mLog.Replace({ReplicaOf("a"), ReplicaOf("b")});
     CPPUNIT_ASSERT(Update().mFull);
     CPPUNIT_ASSERT(mMirror.All() ==
                    std::vector<Replica>({ReplicaOf("a"), ReplicaOf("b")}));
   }
 
   void ListenerGetsChangesOnly() {
-    mLog.Take({ReplicaOf("a"), ReplicaOf("b"), ReplicaOf("c")});
+    mLog.Replace({ReplicaOf("a"), ReplicaOf("b"), ReplicaOf("c")});
     Update();
-    mLog.Take({ReplicaOf("a"), ReplicaOf("b", true), ReplicaOf("d")});
+    mLog.Replace({ReplicaOf("a"), ReplicaOf("b", true), ReplicaOf("d")});
     const ReplicaDelta delta = Update();
     CPPUNIT_ASSERT(!delta.mFull);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, delta.mChanged.size());
@@ -65,9 +65,9 @@
   }
 
   void UnchangedListSendsNothing() {
-    mLog.Take({ReplicaOf("a")});
+    mLog.Replace({ReplicaOf("a")});
     const int64_t number = Update().mNumber;
-    mLog.Take({ReplicaOf("a")});
+    mLog.Replace({ReplicaOf("a")});
     const ReplicaDelta delta = Update();
     CPPUNIT_ASSERT(delta.mChanged.empty() && delta.mGone.empty());
     CPPUNIT_ASSERT(!delta.mFull);
@@ -75,31 +75,31 @@
   }
 
   void OtherRunSendsFullList() {
-    mLog.Take({ReplicaOf("a")});
+    mLog.Replace({ReplicaOf("a")});
     const ReplicaDelta earlier{
         7, true, {ReplicaOf("z")}, {}, DigestOf(ReplicaOf("z"))};
-    CPPUNIT_ASSERT(mMirror.Take("earlier run", earlier));
+    CPPUNIT_ASSERT(mMirror.Apply("earlier run", earlier));
     CPPUNIT_ASSERT_EQUAL(int64_t{7}, mMirror.Cursor().mNumber);
     CPPUNIT_ASSERT(Update().mFull);
     CPPUNIT_ASSERT(mMirror.All() == std::vector<Replica>{ReplicaOf("a")});
   }
 
   void ListenerThatMissedTooMuchGetsFullList() {
-    mLog.Take({ReplicaOf("a")});
+    mLog.Replace({ReplicaOf("a")});
     Update();
     constexpr int kMany = 1100;
     for (int i = 0; i < kMany; ++i) {
-      mLog.Take({ReplicaOf("r" + std::to_string(i))});
+      mLog.Replace({ReplicaOf("r" + std::to_string(i))});
     }
     CPPUNIT_ASSERT(Update().mFull);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, mMirror.All().size());
   }
 
   void ReplicaThatReturnsIsSent() {
-    mLog.Take({ReplicaOf("a"), ReplicaOf("b")});
+    mLog.Replace({ReplicaOf("a"), ReplicaOf("b")});
     Update();
-    mLog.Take({ReplicaOf("a")});
-    mLog.Take({ReplicaOf("a"), ReplicaOf("b")});
+    mLog.Replace({ReplicaOf("a")});
+    mLog.Replace({ReplicaOf("a"), ReplicaOf("b")});
     Update();
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mMirror.All().size());
   }
@@ -107,20 +107,20 @@
   // After a change of the lead, a listener that already has the list must not
   // be sent it again: that would be 165 replicas to each of 295 nodes.
   void OtherRunWithTheSameListSendsNothing() {
-    mLog.Take({ReplicaOf("a"), ReplicaOf("b", true)});
+    mLog.Replace({ReplicaOf("a"), ReplicaOf("b", true)});
     Update();
     ReplicaLog later;
-    later.Take({ReplicaOf("c")});
-    later.Take({ReplicaOf("b", true), ReplicaOf("a")});
+    later.Replace({ReplicaOf("c")});
+    later.Replace({ReplicaOf("b", true), ReplicaOf("a")});
     const ReplicaCursor cursor{0, mMirror.Cursor().mDigest};
     const ReplicaDelta delta = later.Since(cursor);
     CPPUNIT_ASSERT(!delta.mFull && delta.mChanged.empty());
-    CPPUNIT_ASSERT(mMirror.Take("later", delta));
+    CPPUNIT_ASSERT(mMirror.Apply("later", delta));
     // Later changes use the sequence numbers of the new run.
-    later.Take({ReplicaOf("b"), ReplicaOf("a")});
+    later.Replace({ReplicaOf("b"), ReplicaOf("a")});
     const ReplicaDelta change = later.Since(mMirror.Cursor());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, change.mChanged.size());
-    CPPUNIT_ASSERT(mMirror.Take("later", change));
+    CPPUNIT_ASSERT(mMirror.Apply("later", change));
     CPPUNIT_ASSERT(mMirror.All() ==
                    std::vector<Replica>({ReplicaOf("a"), ReplicaOf("b")}));
   }
@@ -128,13 +128,13 @@
   // A listener that lost a change detects it at the next update and requests
   // the whole list.
   void MissedChangeIsDetected() {
-    mLog.Take({ReplicaOf("a"), ReplicaOf("b")});
+    mLog.Replace({ReplicaOf("a"), ReplicaOf("b")});
     Update();
-    mLog.Take({ReplicaOf("a", true), ReplicaOf("b")});
+    mLog.Replace({ReplicaOf("a", true), ReplicaOf("b")});
     const int64_t missed = mLog.Number();
-    mLog.Take({ReplicaOf("a", true), ReplicaOf("b"), ReplicaOf("c")});
+    mLog.Replace({ReplicaOf("a", true), ReplicaOf("b"), ReplicaOf("c")});
     const ReplicaDelta wrong = mLog.Since({missed, 0});
-    CPPUNIT_ASSERT(!mMirror.Take("run", wrong));
+    CPPUNIT_ASSERT(!mMirror.Apply("run", wrong));
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, mMirror.Cursor().mNumber);
     CPPUNIT_ASSERT(Update().mFull);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, mMirror.All().size());
--- a/src/librillwall_coordination/rollout_pattern_test.cpp
+++ b/src/librillwall_coordination/rollout_pattern_test.cpp
@@ -133,8 +133,8 @@
   void Start(const LoadTarget& aTarget, int64_t aEvents) {
     size_t best = mReplicas.size();
     for (size_t i = 0; i < mReplicas.size(); ++i) {
-      const bool room = mReplicas[i].mInFlight < kSlots;
-      if (room && Serves(mReplicas[i], aTarget) &&
+      const bool hasFreeSlot = mReplicas[i].mInFlight < kSlots;
+      if (hasFreeSlot && Serves(mReplicas[i], aTarget) &&
           (best == mReplicas.size() ||
            mReplicas[i].mInFlight < mReplicas[best].mInFlight)) {
         best = i;
--- a/src/librillwall_coordination/usage_meter.cpp
+++ b/src/librillwall_coordination/usage_meter.cpp
@@ -55,7 +55,7 @@
   return unreported;
 }
 
-void UsageMeter::Told() {
+void UsageMeter::RecordAcknowledgement() {
   for (auto& [window, tally] : mTallies) {
     tally.mAcknowledged = tally.mLastReported;
   }
@@ -67,7 +67,8 @@
   });
 }
 
-void UsageTotals::Told(const std::string& aRun, const WindowCounts& aCounts) {
+void UsageTotals::RecordCounts(const std::string& aRun,
+                               const WindowCounts& aCounts) {
   for (const auto& [window, counts] : aCounts) {
     mCounts[aRun][window] = counts;
   }
--- a/src/librillwall_coordination/usage_meter_test.cpp
+++ b/src/librillwall_coordination/usage_meter_test.cpp
@@ -70,7 +70,7 @@
     meter.Count("a", kBegin);
     CPPUNIT_ASSERT(!meter.AllReported());
     meter.UnreportedCounts("lead");
-    meter.Told();
+    meter.RecordAcknowledgement();
     CPPUNIT_ASSERT(meter.AllReported());
     CPPUNIT_ASSERT(meter.UnreportedCounts("lead").empty());
     meter.Count("b", kBegin);
@@ -90,7 +90,7 @@
     meter.Count("a", kBegin);
     meter.UnreportedCounts("lead");
     meter.Count("a", kBegin);
-    meter.Told();
+    meter.RecordAcknowledgement();
     CPPUNIT_ASSERT(!meter.AllReported());
     const WindowCounts whole{{100, {{"a", 2}}}};
     CPPUNIT_ASSERT(whole == meter.UnreportedCounts("lead"));
@@ -100,7 +100,7 @@
     UsageMeter meter = Meter();
     meter.Count("a", kBegin);
     const WindowCounts all = meter.UnreportedCounts("lead");
-    meter.Told();
+    meter.RecordAcknowledgement();
     CPPUNIT_ASSERT(all == meter.UnreportedCounts("other lead"));
   }
 
@@ -114,9 +114,9 @@
   void RepeatedReportsAreIdempotent() {
     UsageTotals totals;
     const WindowCounts counts{{100, {{"a", 2}}}};
-    totals.Told("h1", counts);
-    totals.Told("h1", counts);
-    totals.Told("h2", {{100, {{"a", 1}, {"b", 4}}}});
+    totals.RecordCounts("h1", counts);
+    totals.RecordCounts("h1", counts);
+    totals.RecordCounts("h2", {{100, {{"a", 1}, {"b", 4}}}});
     const AccountCounts expected{{"a", 3}, {"b", 4}};
     CPPUNIT_ASSERT(expected == totals.Sum(100));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, totals.ReporterCount(100));
@@ -125,8 +125,8 @@
 
   void RestartedHostIsCountedAsANewProcess() {
     UsageTotals totals;
-    totals.Told("h1 first", {{100, {{"a", 2}}}});
-    totals.Told("h1 second", {{100, {{"a", 1}}}});
+    totals.RecordCounts("h1 first", {{100, {{"a", 2}}}});
+    totals.RecordCounts("h1 second", {{100, {{"a", 1}}}});
     CPPUNIT_ASSERT_EQUAL(int64_t{3}, totals.Sum(100).at("a"));
   }
 
@@ -143,9 +143,10 @@
     CPPUNIT_ASSERT(totals.AllContactedSince(Millis(95000), Millis(95000)));
   }
 
-  /// Random sequences of requests, questions, lost answers, restarts and
-  /// changes of the lead. After a last report of all hosts, the lead must have
-  /// counted each request of the live processes exactly once, and no others.
+  /// Random sequences of client requests, view requests, lost answers,
+  /// restarts and changes of the lead. After a last report of all hosts, the
+  /// lead must have counted each request of the live processes exactly once,
+  /// and no others.
   void EachRequestIsReportedOnceAcrossLeads() {
     constexpr size_t kHosts = 3;
     const bool held = rc::check(
@@ -154,18 +155,18 @@
           std::vector<int> starts(kHosts, 0);
           std::vector<int64_t> made(kHosts, 0);
           int64_t ended = 0;  // reported by processes that have ended
-          std::vector<int64_t> told(kHosts, 0);
+          std::vector<int64_t> reported(kHosts, 0);
           UsageTotals totals;
           int lead = 0;
           const auto run = [&](size_t aHost) {
             return std::to_string(aHost) + "/" + std::to_string(starts[aHost]);
           };
           const auto ask = [&](size_t aHost, bool aAnswered) {
-            totals.Told(run(aHost),
-                        hosts[aHost].UnreportedCounts(std::to_string(lead)));
-            told[aHost] = made[aHost];
+            totals.RecordCounts(run(aHost), hosts[aHost].UnreportedCounts(
+                                                std::to_string(lead)));
+            reported[aHost] = made[aHost];
             if (aAnswered) {
-              hosts[aHost].Told();
+              hosts[aHost].RecordAcknowledgement();
             }
           };
           for (const uint8_t event : aEvents) {
@@ -180,8 +181,8 @@
                 ask(host, event % 2 == 0);
                 break;
               case 3:  // the host restarts
-                ended += told[host];
-                made[host] = told[host] = 0;
+                ended += reported[host];
+                made[host] = reported[host] = 0;
                 hosts[host] = Meter();
                 ++starts[host];
                 break;
@@ -189,7 +190,7 @@
                 ++lead;
                 totals = UsageTotals();
                 ended = 0;
-                told.assign(kHosts, 0);
+                reported.assign(kHosts, 0);
                 break;
             }
           }
--- a/src/librillwall_coordination/view_plan.cpp
+++ b/src/librillwall_coordination/view_plan.cpp
@@ -10,13 +10,13 @@
 
 constexpr int64_t kPercent = 100;
 /// Percentages of the bound. In a calm state, a list is at most as old as the
-/// poll interval of the lead plus the interval between questions, 55 %. A node
-/// whose question failed asks the next source at once. From 62 % on it reads
+/// poll interval of the lead plus the interval between requests, 55 %. A node
+/// whose request failed asks the next source at once. From 62 % on it reads
 /// the store, which leaves time for a slow call.
 constexpr int64_t kPollPercent = 25;
 constexpr int64_t kAskPercent = 30;
 constexpr int64_t kFreshPercent = 62;
-/// Longest timeout of a question: two of them fit into the bound along with the
+/// Longest timeout of a request: two of them fit into the bound along with the
 /// intervals above.
 constexpr int64_t kTimeoutPercent = 15;
 /// Shortest timeout: a live node on a quarter of a core answers well within it.
@@ -25,9 +25,9 @@
 constexpr double kTimeoutFactor = 4;
 constexpr double kAnswerTimeWeight = 0.25;
 
-/// Pauses after misses, relative to the interval between questions. Each node
+/// Pauses after misses, relative to the interval between requests. Each node
 /// asks a silent lead only in every fourth interval. Helpers are asked in turn,
-/// so that each of them gets a share of the questions.
+/// so that each of them gets a share of the requests.
 constexpr int64_t kFirstPauseDivisor = 4;
 constexpr int64_t kMaxLeadPausePeriods = 4;
 constexpr int64_t kMaxHelperPausePeriods = 1;
@@ -36,7 +36,8 @@
 constexpr Millis kMaxStorePause{4000};
 /// A node that gets no list from another node reads the store within this time,
 /// at a random moment. It is long enough for a lead to be found and to answer,
-/// which saves most nodes the call, and short because clients wait.
+/// which saves most nodes the call, and short because clients are
+/// waiting.
 constexpr Millis kInitialStoreSpread{2000};
 /// When all nodes start for the first time, the lead is claimed within this
 /// time. A node that looks for the lead earlier has to look again, which costs
@@ -47,10 +48,10 @@
 /// and asks other helpers; otherwise every node would call the store while no
 /// call succeeds.
 constexpr Millis kStoreAwayPause{8000};
-/// Questions to a new lead are spread over this time.
+/// Requests to a new lead are spread over this time.
 constexpr Millis kNewLeadSpread{300};
 /// Interval at which a node checks which sources are due. A check costs far
-/// less than a question.
+/// less than a request.
 constexpr Millis kCheckInterval{50};
 
 }  // namespace
@@ -125,8 +126,8 @@
   return std::nullopt;
 }
 
-void ViewPlan::Told(ViewSource aSource, Millis aAsked, Millis aAge,
-                    Millis aNow) {
+void ViewPlan::RecordAnswer(ViewSource aSource, Millis aAsked, Millis aAge,
+                            Millis aNow) {
   const auto answerMs = static_cast<double>((aNow - aAsked).Count());
   mAnswerMs = mAnswerMs == 0 ? answerMs
                              : mAnswerMs * (1 - kAnswerTimeWeight) +
--- a/src/librillwall_coordination/view_plan_test.cpp
+++ b/src/librillwall_coordination/view_plan_test.cpp
@@ -4,8 +4,8 @@
 ///
 /// The simulated deployment has 250 entry hosts and a lead that is one of 24
 /// candidates, and all processes are lost at once. A lead on a third of a core
-/// answers some two thousand questions a second if it does nothing else, and
-/// only few while it takes over steps. A question that its sender has given up
+/// answers some two thousand requests a second if it does nothing else, and
+/// only few while it takes over steps. A request that its sender has given up
 /// costs it as much as any other.
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -73,7 +73,7 @@
   }
   void ResetCounts() { mToLead = mToHelpers = mStoreCalls = mUnanswered = 0; }
 
-  double mLeadPerTick = 20;    ///< questions that the lead answers per tick
+  double mLeadPerTick = 20;    ///< requests that the lead answers per tick
   bool mLeadReachable = true;  ///< connections to the lead succeed
   bool mStoreAnswers = true;
   int64_t mToLead = 0;
@@ -90,11 +90,11 @@
     uint64_t mSeed;
     bool mKnowsLead = false;
     size_t mHelper = 0;
-    /// Time of the unanswered question to the lead.
+    /// Time of the unanswered request to the lead.
     std::optional<Millis> mAsked;
     Millis mListedAt = kStart;
   };
-  struct Question {
+  struct PendingRequest {
     size_t mHost;
     Millis mAsked;
   };
@@ -102,21 +102,22 @@
   void ServeLead() {
     while (!mQueue.empty() && mCredit >= 1) {
       mCredit -= 1;
-      const Question question = mQueue.front();
+      const PendingRequest request = mQueue.front();
       mQueue.pop_front();
-      Host& host = mHosts[question.mHost];
-      if (host.mAsked == question.mAsked) {
+      Host& host = mHosts[request.mHost];
+      if (host.mAsked == request.mAsked) {
         host.mAsked.reset();
         // The lead reads the store every second.
-        Tell(host, ViewSource::Lead, question.mAsked, mStoreAge);
+        RecordAnswer(host, ViewSource::Lead, request.mAsked, mStoreAge);
       }
     }
     mStoreAge = mStoreAnswers && mStoreAge >= Millis(1000) ? Millis(0)
                                                            : mStoreAge + kTick;
   }
 
-  void Tell(Host& aHost, ViewSource aSource, Millis aAsked, Millis aAge) {
-    aHost.mPlan.Told(aSource, aAsked, aAge, mNow);
+  void RecordAnswer(Host& aHost, ViewSource aSource, Millis aAsked,
+                    Millis aAge) {
+    aHost.mPlan.RecordAnswer(aSource, aAsked, aAge, mNow);
     aHost.mListedAt = std::max(aHost.mListedAt, aAsked - aAge);
   }
 
@@ -165,10 +166,11 @@
       ++mStoreCalls;
       const Millis before = readAt.value_or(mNow - kBound);
       readAt = mNow;
-      Tell(aHost, ViewSource::Helper, mNow, mNow - before);
+      RecordAnswer(aHost, ViewSource::Helper, mNow, mNow - before);
       return;
     }
-    Tell(aHost, ViewSource::Helper, mNow, mNow - readAt.value_or(kStart));
+    RecordAnswer(aHost, ViewSource::Helper, mNow,
+                 mNow - readAt.value_or(kStart));
     aHost.mHelper += aHost.mPlan.Misses(ViewSource::Helper) > 1 ? 1 : 0;
   }
 
@@ -179,7 +181,7 @@
       aHost.mKnowsLead = true;
       aHost.mPlan.LeadFound(mNow);
     } else {
-      Tell(aHost, ViewSource::Store, mNow, Millis(0));
+      RecordAnswer(aHost, ViewSource::Store, mNow, Millis(0));
     }
   }
 
@@ -187,7 +189,7 @@
   std::vector<Host> mHosts;
   /// Time of each helper's last read of the store.
   std::vector<std::optional<Millis>> mHelpers;
-  std::deque<Question> mQueue;
+  std::deque<PendingRequest> mQueue;
   double mCredit = 0;
   Millis mStoreAge;
 };
@@ -202,7 +204,7 @@
   CPPUNIT_TEST(UsualAnswerTimeSetsTheTimeout);
   CPPUNIT_TEST(OldListLeadsToTheNextSource);
   CPPUNIT_TEST(CandidateReadsTheStoreWhileNobodyLeads);
-  CPPUNIT_TEST(QuestionsToANewLeadAreSpread);
+  CPPUNIT_TEST(RequestsToANewLeadAreSpread);
   CPPUNIT_TEST(AllNodesGetAViewAfterTheLossOfAllProcesses);
   CPPUNIT_TEST(SaturatedLeadIsAskedLessOften);
   CPPUNIT_TEST(SilentLeadDoesNotBreakTheBound);
@@ -225,7 +227,7 @@
   void SilentSourceIsAskedLessOften() {
     ViewPlan plan(kBound, 1);
     const ViewContacts contacts{true, false, false};
-    plan.Told(ViewSource::Lead, kStart, Millis(0), kStart);
+    plan.RecordAnswer(ViewSource::Lead, kStart, Millis(0), kStart);
     Millis now = kStart + Millis(1400);
     Millis longest;
     for (int i = 0; i < 8; ++i) {
@@ -239,12 +241,12 @@
     // At most four periods, and at least half of that once the maximum is
     // reached.
     CPPUNIT_ASSERT(longest >= Millis(2400) && longest <= Millis(4810));
-    plan.Told(ViewSource::Lead, now, Millis(0), now);
+    plan.RecordAnswer(ViewSource::Lead, now, Millis(0), now);
     CPPUNIT_ASSERT_EQUAL(0, plan.Misses(ViewSource::Lead));
   }
 
   // A node does not look for the lead while it is being claimed. A restarted
-  // node looks at once, because its clients wait.
+  // node looks at once, because clients are waiting for it.
   void FirstStartWaitsForTheLeadToBeClaimed() {
     const ViewContacts nobody;
     ViewPlan first(kBound, 1);
@@ -261,11 +263,13 @@
     ViewPlan plan(kBound, 1);
     CPPUNIT_ASSERT(plan.Limit() == Millis(300));
     for (int i = 0; i < 40; ++i) {
-      plan.Told(ViewSource::Lead, kStart, Millis(0), kStart + Millis(120));
+      plan.RecordAnswer(ViewSource::Lead, kStart, Millis(0),
+                        kStart + Millis(120));
     }
     CPPUNIT_ASSERT(plan.Limit() >= Millis(470) && plan.Limit() <= Millis(480));
     for (int i = 0; i < 40; ++i) {
-      plan.Told(ViewSource::Lead, kStart, Millis(0), kStart + Millis(500));
+      plan.RecordAnswer(ViewSource::Lead, kStart, Millis(0),
+                        kStart + Millis(500));
     }
     // Two answers must fit into the bound along with everything else.
     CPPUNIT_ASSERT(plan.Limit() == Millis(600));
@@ -274,10 +278,10 @@
   void OldListLeadsToTheNextSource() {
     ViewPlan plan(kBound, 1);
     const ViewContacts contacts{true, true, false};
-    plan.Told(ViewSource::Lead, kStart, Millis(3000), kStart);
+    plan.RecordAnswer(ViewSource::Lead, kStart, Millis(3000), kStart);
     CPPUNIT_ASSERT(!plan.Fresh(kStart));
     CPPUNIT_ASSERT(plan.Next(contacts, kStart) == ViewSource::Helper);
-    plan.Told(ViewSource::Helper, kStart, Millis(200), kStart);
+    plan.RecordAnswer(ViewSource::Helper, kStart, Millis(200), kStart);
     CPPUNIT_ASSERT(plan.Fresh(kStart));
     CPPUNIT_ASSERT(!plan.Next(contacts, kStart));
   }
@@ -286,7 +290,7 @@
     ViewPlan plan(kBound, 1);
     const ViewContacts alone{false, true, true};
     CPPUNIT_ASSERT(plan.Next(alone, kStart) == ViewSource::Store);
-    plan.Told(ViewSource::Store, kStart, Millis(0), kStart);
+    plan.RecordAnswer(ViewSource::Store, kStart, Millis(0), kStart);
     CPPUNIT_ASSERT(!plan.Next(alone, kStart + Millis(800)));
     CPPUNIT_ASSERT(plan.Next(alone, kStart + Millis(1110)) ==
                    ViewSource::Store);
@@ -294,12 +298,12 @@
     CPPUNIT_ASSERT(plan.Next(led, kStart) == ViewSource::Lead);
   }
 
-  void QuestionsToANewLeadAreSpread() {
+  void RequestsToANewLeadAreSpread() {
     const ViewContacts contacts{true, true, false};
     int64_t atOnce = 0;
     for (uint64_t seed = 1; seed <= 100; ++seed) {
       ViewPlan plan(kBound, seed);
-      plan.Told(ViewSource::Helper, kStart, Millis(0), kStart);
+      plan.RecordAnswer(ViewSource::Helper, kStart, Millis(0), kStart);
       plan.LeadChanged(kStart);
       const auto next = plan.Next(contacts, kStart + Millis(200));
       atOnce += next == ViewSource::Lead ? 1 : 0;
@@ -309,7 +313,7 @@
     CPPUNIT_ASSERT(atOnce > 15 && atOnce < 60);
   }
 
-  // The lead takes over steps and answers 250 questions a second. Each node has
+  // The lead takes over steps and answers 250 requests a second. Each node has
   // a view within three seconds, most of them without reading the store.
   void AllNodesGetAViewAfterTheLossOfAllProcesses() {
     Deployment restarted(250);
@@ -326,8 +330,8 @@
     CPPUNIT_ASSERT_EQUAL(int64_t{0}, restarted.mStoreCalls);
   }
 
-  // The lead answers 40 questions a second for 10 s, while 210 are asked in a
-  // calm state. If unanswered questions were repeated at once, it would get
+  // The lead answers 40 requests a second for 10 s, while 210 are sent in a
+  // calm state. If unanswered requests were repeated at once, it would get
   // some 500 a second.
   void SaturatedLeadIsAskedLessOften() {
     Deployment late(250);
--- a/src/librillwall_rollout/lead_claim.cpp
+++ b/src/librillwall_rollout/lead_claim.cpp
@@ -73,7 +73,7 @@
   }
 }
 
-asio::awaitable<void> LeadClaim::RunAsFallback(Millis aMaxLeaderless) {
+asio::awaitable<void> LeadClaim::RunAsFallback(Millis aMaxTimeWithoutLead) {
   Millis lastLedAt = mNode.Now();
   while (!mNode.mStopping) {
     if (Held()) {
@@ -85,7 +85,7 @@
     if (mKnown) {
       lastLedAt = mNode.Now();
     }
-    if (mNode.Now() - lastLedAt >= aMaxLeaderless) {
+    if (mNode.Now() - lastLedAt >= aMaxTimeWithoutLead) {
       co_await ClaimIfFree();
       lastLedAt = mNode.Now();
     }
--- a/src/librillwall_rollout/rollout_run.cpp
+++ b/src/librillwall_rollout/rollout_run.cpp
@@ -149,7 +149,7 @@
 }
 
 bool RolloutService::MayStart(const RolloutStep& aStep) const {
-  // As far as this node can tell, a store that does not answer it does not
+  // As far as this node knows, a store that does not answer it does not
   // record the end of a step either, so items may start. If the store answers,
   // but this node has not managed to ask it or to read its answer, the step may
   // have ended.
--- a/src/librillwall_rollout/rollout_service.cpp
+++ b/src/librillwall_rollout/rollout_service.cpp
@@ -28,7 +28,7 @@
 constexpr size_t kMaxResponseBytes = 900 * 1000;
 /// Text of ended steps kept in memory; the least recently read leave first. It
 /// holds some 40 steps of 200 texts of 5 KB, and is a sixth of the memory of
-/// the smallest host that has so many steps and a disk. Older steps are read
+/// the smallest host that has that many steps and a disk. Older steps are read
 /// from the store again.
 constexpr size_t kArchiveBytes = 40 * 1024 * 1024;
 constexpr size_t kMaxRemoteOwners = 4096;
--- a/src/librillwall_rollout/usage_reporter.cpp
+++ b/src/librillwall_rollout/usage_reporter.cpp
@@ -14,7 +14,7 @@
 /// host reports the count with its next view request. Clients of plain requests
 /// wait 1.5 s.
 constexpr Millis kSettleDelay{1600};
-/// Within this time every host has learned of a new lead and told it all
+/// Within this time every host has learned of a new lead and sent it all
 /// counts, with its second view request at the latest.
 constexpr Millis kTakeoverDelay{2500};
 /// Percentage of the report delay after which a report is fixed even if hosts
@@ -35,19 +35,20 @@
                              UsagePort& aPort)
     : mNode(aNode), mLead(aLead), mPort(aPort), mJitter(0) {}
 
-void UsageReporter::Take(const NodeEntry& aFrom, const std::string& aText) {
+void UsageReporter::RecordReport(const NodeEntry& aFrom,
+                                 const std::string& aText) {
   if (aFrom.mTakesClients) {
-    mBook.RecordContact(aFrom.mAddress, mNode.Now());
+    mTotals.RecordContact(aFrom.mAddress, mNode.Now());
   }
   if (aText.empty()) {
     return;
   }
-  const Result<HostUsage> told = DecodeHostUsage(aText);
-  if (!told) {
-    Event("usage-unread").Text("why", told.error().Detail()).Write();
+  const Result<HostUsage> usage = DecodeHostUsage(aText);
+  if (!usage) {
+    Event("usage-unread").Text("why", usage.error().Detail()).Write();
     return;
   }
-  mBook.Told(told->mRun, told->mCounts);
+  mTotals.RecordCounts(usage->mRun, usage->mCounts);
 }
 
 asio::awaitable<void> UsageReporter::Run() {
@@ -115,15 +116,15 @@
   const bool forced = past >= mReportDelay * kForcedFixPercent / kPercent;
   const bool known = now - mLeadingSince >= kTakeoverDelay;
   return forced ||
-         (known && mBook.AllContactedSince(now - past + kSettleDelay, now));
+         (known && mTotals.AllContactedSince(now - past + kSettleDelay, now));
 }
 
 UsageReport UsageReporter::Collect() {
   // A lead that accepts client requests itself adds its own counts.
   const std::string& run = mNode.mIdentity.mRun;
-  mBook.Told(run, mNode.mUsage.UnreportedCounts(run));
-  mNode.mUsage.Told();
-  return {mNext, mBook.Sum(mNext)};
+  mTotals.RecordCounts(run, mNode.mUsage.UnreportedCounts(run));
+  mNode.mUsage.RecordAcknowledgement();
+  return {mNext, mTotals.Sum(mNext)};
 }
 
 StoreChange UsageReporter::FixingChange(const UsageReport& aReport) const {
@@ -181,7 +182,7 @@
       .Number("accounts", static_cast<int64_t>(aReport.mCounts.size()))
       .Number("requests", requests)
       .Number("tellers",
-              static_cast<int64_t>(mBook.ReporterCount(aReport.mWindow)))
+              static_cast<int64_t>(mTotals.ReporterCount(aReport.mWindow)))
       .Number("after_ms", mNode.mTimeOfDay() - end)
       .Flag("by_this_claim", aByThisClaim)
       .Write();
@@ -224,7 +225,7 @@
 void UsageReporter::ForgetOld() {
   const int64_t oldest = mNode.mUsage.WindowAt(
       mNode.mTimeOfDay() - mReportDelay.Count() * kRetryFactor);
-  mBook.Forget(oldest, mNode.Now());
+  mTotals.Forget(oldest, mNode.Now());
   std::erase_if(mFixed, [&](const auto& aEntry) {
     const bool old = aEntry.first < oldest;
     if (old && !aEntry.second.mAccepted) {
--- a/src/librillwall_rollout/usage_reporter_test.cpp
+++ b/src/librillwall_rollout/usage_reporter_test.cpp
@@ -56,7 +56,7 @@
     Launch(mTest.mIo, "usage", mReporter.Run());
   }
   void ReportCounts(const std::string& aRun, const WindowCounts& aCounts) {
-    mReporter.Take(kEntry, EncodeHostUsage({aRun, aCounts}));
+    mReporter.RecordReport(kEntry, EncodeHostUsage({aRun, aCounts}));
   }
 
   TestNode mTest;
@@ -173,8 +173,9 @@
 
   void UndecodableCountsAreIgnored() {
     Candidate one(mWorld, "one", mTimeOfDay);
-    one.mReporter.Take(kEntry, "no JSON");
-    one.mReporter.Take(kEntry, R"({"run":"r","windows":[{"window":100}]})");
+    one.mReporter.RecordReport(kEntry, "no JSON");
+    one.mReporter.RecordReport(kEntry,
+                               R"({"run":"r","windows":[{"window":100}]})");
     mTimeOfDay = kBegin + kWindow.Count() + kReportDelay.Count() * 8 / 10;
     one.mTest.RunUntil([&] { return one.mPlatform.CountOf(100) > 0; });
     for (const UsageReport& report : one.mPlatform.mReports) {
--- a/src/librillwall_rollout/view_exchange.cpp
+++ b/src/librillwall_rollout/view_exchange.cpp
@@ -58,8 +58,8 @@
                           Millis aAsked) {
   const int64_t before = mReplicaLog.Number();
   mTable = nullptr;
-  mReplicaLog.Take(aReplicas);
-  mReplicaLogWithoutVersions.Take(WithoutVersions(aReplicas));
+  mReplicaLog.Replace(aReplicas);
+  mReplicaLogWithoutVersions.Replace(WithoutVersions(aReplicas));
   RecordListing(aAsked);
   if (mReplicaLog.Number() != before) {
     mCachedAnswers.clear();
@@ -130,7 +130,7 @@
   aView.mCrashNumber = mNode.mCrashes.Number();
   aView.mCrashes = mNode.mCrashes.Since(aCrashes);
   if (aNodes) {
-    aView.mNodes = mNodes.Told();
+    aView.mNodes = mNodes.Advertised();
   }
 }
 
@@ -257,8 +257,8 @@
   const NodeIdentity& self = mNode.mIdentity;
   const std::optional<LeadHolder>& lead = mLead.Known();
   if (aSource == ViewSource::Lead) {
-    const std::optional<std::string> teller = SubsetSource();
-    return teller ? teller
+    const std::optional<std::string> source = SubsetSource();
+    return source ? source
                   : (lead ? std::optional(lead->mAddress) : std::nullopt);
   }
   std::vector<std::string> candidates = mNodes.Candidates(self.mAddress);
@@ -284,12 +284,12 @@
   const auto weight = [&](const std::string& aAddress) {
     return std::hash<std::string>()(aAddress + '/' + aStep);
   };
-  const auto keeper =
+  const auto host =
       std::max_element(candidates.begin(), candidates.end(),
                        [&](const std::string& aOne, const std::string& aOther) {
                          return weight(aOne) < weight(aOther);
                        });
-  return keeper == candidates.end() ? std::nullopt : std::optional(*keeper);
+  return host == candidates.end() ? std::nullopt : std::optional(*host);
 }
 
 asio::awaitable<void> ViewExchange::LookUp() {
@@ -395,11 +395,11 @@
     co_return std::nullopt;
   }
   if (view->mRun == leadRun && answer->Find(kUsageTakenHeader) != nullptr) {
-    mNode.mUsage.Told();
+    mNode.mUsage.RecordAcknowledgement();
   }
-  mPlan.Told(aSource, asked, Millis(*ageMs), mNode.Now());
+  mPlan.RecordAnswer(aSource, asked, Millis(*ageMs), mNode.Now());
   if (aSource == ViewSource::Helper && mPlan.Misses(aSource) > 1) {
-    // The helper does not hear from the store either.
+    // The helper gets no answer from the store either.
     ++mHelperIndex;
   }
   co_return co_await ApplyView(std::move(*view), *endpoint);
@@ -411,7 +411,7 @@
   mCrashesRun = aView.mRun;
   mCrashesNumber = aView.mCrashNumber;
   const ReplicaCursor before = mMirror.Cursor();
-  if (!mMirror.Take(aView.mRun, aView.mReplicas)) {
+  if (!mMirror.Apply(aView.mRun, aView.mReplicas)) {
     Event("view-mismatch")
         .Text("node", aFrom.Text())
         .Number("number", aView.mReplicas.mNumber)
--- a/src/librillwall_rollout/view_exchange_test.cpp
+++ b/src/librillwall_rollout/view_exchange_test.cpp
@@ -255,7 +255,7 @@
     mEntry.Ask();
     CPPUNIT_ASSERT(mEntry.mView.Large());
     CPPUNIT_ASSERT(!mEntry.mView.ReadsForOthers());
-    // The replicas become few again, and the lead tells the candidate so.
+    // The replicas become few again, and the lead informs the candidate.
     mSource.mView.Listed({ReplicaOf("a")}, mSource.Now());
     candidate.mView.Listed({ReplicaOf("a")}, candidate.Now());
     CPPUNIT_ASSERT(candidate.mView.ReadsForOthers());
@@ -327,18 +327,18 @@
   void HostsAreCountedOnceAllCanHaveAsked() {
     ViewRequest viewRequest;
     viewRequest.mFrom = mEntry.Entry();
-    const auto told = [&] {
+    const auto reportedHosts = [&] {
       return DecodeView(mSource.AnswerTo(viewRequest))->mHosts;
     };
-    CPPUNIT_ASSERT_EQUAL(int64_t{0}, told());
+    CPPUNIT_ASSERT_EQUAL(int64_t{0}, reportedHosts());
     const Millis now = mSource.Now();
     for (int64_t second = 0; second <= 10; ++second) {
       mSource.mView.Listed({ReplicaOf("a")}, now + Millis(second * 1000));
     }
-    CPPUNIT_ASSERT_EQUAL(int64_t{16}, told());
+    CPPUNIT_ASSERT_EQUAL(int64_t{16}, reportedHosts());
     // After a gap, other hosts may have asked another node.
     mSource.mView.Listed({ReplicaOf("a")}, now + Millis(15000));
-    CPPUNIT_ASSERT_EQUAL(int64_t{0}, told());
+    CPPUNIT_ASSERT_EQUAL(int64_t{0}, reportedHosts());
   }
 
   void ChangesAreSentOnce() {
@@ -346,7 +346,7 @@
     mSource.mView.Listed({ReplicaOf("a"), ReplicaOf("b")}, mSource.Now());
     CPPUNIT_ASSERT_EQUAL(size_t{2}, mEntry.Ask()->mReplicas->size());
     CPPUNIT_ASSERT(!mEntry.Ask()->mReplicas);
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, mEntry.mView.Told().size());
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, mEntry.mView.ReportedReplicas().size());
     mSource.mView.Listed({ReplicaOf("b")}, mSource.Now());
     CPPUNIT_ASSERT(mEntry.Ask()->mReplicas ==
                    std::vector<Replica>{ReplicaOf("b")});
@@ -382,15 +382,15 @@
   }
 
   void CrashRecordsAreSentOnce() {
-    CrashTable& told = mEntry.mTest.mNode.mCrashes;
+    CrashTable& received = mEntry.mTest.mNode.mCrashes;
     mEntry.Ask();
-    CPPUNIT_ASSERT(!told.HasSuspects());
+    CPPUNIT_ASSERT(!received.HasSuspects());
     mSource.mTest.mNode.mCrashes.Merge({CrashOf("r1")});
     mEntry.Ask();
-    CPPUNIT_ASSERT(mSource.mTest.mNode.mCrashes.Since(0) == told.Since(0));
-    const int64_t number = told.Number();
+    CPPUNIT_ASSERT(mSource.mTest.mNode.mCrashes.Since(0) == received.Since(0));
+    const int64_t number = received.Number();
     mEntry.Ask();
-    CPPUNIT_ASSERT_EQUAL(number, told.Number());
+    CPPUNIT_ASSERT_EQUAL(number, received.Number());
     // Records that the request names as known are not sent again.
     ViewRequest viewRequest;
     viewRequest.mRun = "giver-run";
@@ -506,15 +506,15 @@
   }
 
   void HelperIsAskedToRead() {
-    int told = 0;
-    mSource.mView.mOnHelpRequested = [&told] { ++told; };
+    int notifications = 0;
+    mSource.mView.mOnHelpRequested = [&notifications] { ++notifications; };
     mEntry.mLead.Forget();
     mEntry.mNodes.RecordContact(mSource.Entry(), mEntry.Now());
     CPPUNIT_ASSERT(!mSource.mView.Helping());
     CPPUNIT_ASSERT(mEntry.Ask());
     CPPUNIT_ASSERT(mSource.mView.Helping());
     CPPUNIT_ASSERT(mEntry.Ask());
-    CPPUNIT_ASSERT_EQUAL(1, told);
+    CPPUNIT_ASSERT_EQUAL(1, notifications);
   }
 
   void LeadIsNotAHelper() {
@@ -562,7 +562,7 @@
     const std::optional<ViewUpdate> update = mEntry.Ask();
     CPPUNIT_ASSERT(update && !update->mReplicas);
     CPPUNIT_ASSERT_EQUAL(1, next.mAsked);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, mEntry.mView.Told().size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, mEntry.mView.ReportedReplicas().size());
   }
 
   // The source counts its changes wrongly, as a faulty one would.
@@ -634,7 +634,7 @@
     Node candidate{mWorld, "candidate", false};
     candidate.mNodes.Adopt(mEntry.mNodes.List(), candidate.Now());
     CPPUNIT_ASSERT(!ConfirmUnreachable(candidate, giver));
-    // A node that has gone; the entry host has heard of it.
+    // A node that has gone; the entry host knows of it.
     mEntry.mNodes.RecordContact({kGone, false}, mEntry.Now());
     CPPUNIT_ASSERT(ConfirmUnreachable(candidate, kGone));
     // There is no peer left to ask.
@@ -672,24 +672,24 @@
   }
 
   void UsageIsSentUntilTheLeadAcceptsIt() {
-    std::vector<std::string> told;
-    CountOne(told);
+    std::vector<std::string> reports;
+    CountOne(reports);
     Launch(mSource.mTest.mIo, "lead", mSource.mLead.Run());
     mSource.mTest.RunUntil([&] { return mSource.mLead.Held(); });
     CPPUNIT_ASSERT(mEntry.Ask().has_value());
     CPPUNIT_ASSERT(mEntry.Ask().has_value());
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, told.size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, reports.size());
     CPPUNIT_ASSERT(mEntry.mTest.mNode.mUsage.AllReported());
     const HostUsage expected{"entry-run", {{100, {{"a", 1}}}}};
-    CPPUNIT_ASSERT(expected == *DecodeHostUsage(told.front()));
+    CPPUNIT_ASSERT(expected == *DecodeHostUsage(reports.front()));
   }
 
   /// This happens right after the lead has changed.
   void UsageIsKeptIfTheOtherDoesNotLead() {
-    std::vector<std::string> told;
-    CountOne(told);
+    std::vector<std::string> reports;
+    CountOne(reports);
     CPPUNIT_ASSERT(mEntry.Ask().has_value());
-    CPPUNIT_ASSERT(told.empty());
+    CPPUNIT_ASSERT(reports.empty());
     CPPUNIT_ASSERT(!mEntry.mTest.mNode.mUsage.AllReported());
   }
 };
--- a/src/rillwall/caller_api.cpp
+++ b/src/rillwall/caller_api.cpp
@@ -227,7 +227,7 @@
     co_return;
   }
   if (state.mStarted) {
-    // Omitting the closing event and the end of the body tells the caller that
+    // Omitting the closing event and the end of the body shows the caller that
     // the answer is incomplete.
     mNode.Meter().Add(Counter::AnswersCut);
     co_await aExchange.Write(SseNamed("error", ErrorJson(answer.error())));
--- a/src/rillwall/upstream_keeper.h
+++ b/src/rillwall/upstream_keeper.h
@@ -24,7 +24,7 @@
   UpstreamKeeper(Node& aNode, GossipLoop& aGossip);
   void Start();
 
-  /// Records that an upstream is leaving and tells all nodes. Call on the
+  /// Records that an upstream is leaving and informs all nodes. Call on the
   /// control strand only.
   void RecordLeaving(const std::string& aUpstream);
   /// Call on the control strand only.
