--- a/src/include/rillwall/lead_claim.h
+++ b/src/include/rillwall/lead_claim.h
@@ -5,9 +5,10 @@
 /// The lead claim is a key in the store under a lease. The key's revision is
 /// the fencing token of all orders under the claim. A holder that cannot renew
 /// the lease stops giving orders before the lease can have ended. A new holder
-/// waits until no order of its predecessor can still be under way; if it has
-/// led recently itself, it waits for the whole lease time. A host that gave the
-/// previous orders itself need not wait.
+/// waits until no order of its predecessor can still be under way. If it has
+/// led recently itself, before that predecessor, it also waits until the whole
+/// lease time has passed since its own orders. A host that gave the previous
+/// orders itself need not wait.
 ///
 /// If a candidate and other nodes all fail to reach the holder, the candidate
 /// ends the holder's lease, so that the claim does not stay unused until the
--- a/src/include/rillwall/node_directory.h
+++ b/src/include/rillwall/node_directory.h
@@ -28,6 +28,8 @@
 /// One node.
 struct NodeEntry {
   std::string mAddress;  ///< address for other nodes, ip:port
+  /// It is an entry host, which accepts client requests; otherwise it is a
+  /// candidate for the lead.
   bool mTakesClients = false;
   std::string mZone;  ///< availability zone; empty if unknown
   bool operator==(const NodeEntry&) const = default;
@@ -48,7 +50,7 @@
   std::vector<NodeEntry> Advertised() const;
   /// \return number of known hosts that take clients, rounded up so that it
   /// rarely changes
-  size_t Hosts() const;
+  size_t EntryHostCount() const;
   /// \return whether List() contains the node
   bool Knows(const std::string& aAddress) const;
   /// \return a hash of the nodes that Advertised() returns
@@ -77,16 +79,16 @@
   using NodesByHash = std::map<uint64_t, NodeEntry>;
 
   /// Adds a node to the advertised ones, if its hash is among the lowest.
-  void Consider(const NodeEntry& aNode);
+  void AdvertiseIfSelected(const NodeEntry& aNode);
   /// Removes nodes that have become silent.
   void ForgetSilent();
   void Rebuild();
   void UpdateTag();
 
   std::map<std::string, State> mNodes;  ///< by address
-  size_t mHosts = 0;                    ///< nodes in mNodes that take clients
-  NodesByHash mAdvertisedEntries;       ///< hosts that take clients
-  NodesByHash mAdvertisedOthers;
+  size_t mEntryHostCount = 0;           ///< hosts in mNodes that take clients
+  NodesByHash mAdvertisedEntryHosts;    ///< hosts that take clients
+  NodesByHash mAdvertisedCandidates;
   uint64_t mTag = 0;
   Millis mNewestContact;  ///< time of the latest contact of any node
   Millis mLastSweep;      ///< last time silent nodes were removed
--- a/src/include/rillwall/usage_meter.h
+++ b/src/include/rillwall/usage_meter.h
@@ -4,8 +4,8 @@
 ///
 /// Every host that accepts requests counts its own (UsageMeter). It reports the
 /// counts to the lead, the elected host, along with its view requests: that
-/// needs no extra message, and bytes only for accounts with new counts. The lead
-/// stores the counts by the process that reported them (UsageTotals), and
+/// needs no extra message, and bytes only for accounts with new counts. The
+/// lead stores the counts by the process that reported them (UsageTotals), and
 /// reports each window once: when every host in contact with it has reported,
 /// or at the last moment before the report is due.
 ///
@@ -53,7 +53,8 @@
 
   /// \param aRun process of the lead; a new process is sent all retained
   /// counts again
-  /// \return complete counts of the windows that have changed for it
+  /// \return complete counts of the windows with changes that it has not
+  /// acknowledged
   WindowCounts UnreportedCounts(const std::string& aRun);
   /// Records that the lead has received the last result of UnreportedCounts().
   void RecordAcknowledgement();
--- a/src/include/rillwall/view_plan.h
+++ b/src/include/rillwall/view_plan.h
@@ -60,7 +60,7 @@
   Millis AskInterval() const;
   /// \return timeout of a request: a multiple of the usual answer time, within
   /// limits that depend on the bound
-  Millis Limit() const;
+  Millis RequestTimeout() const;
 
   /// Records that the process has started.
   /// \param aExpectLead no client waits for this node yet and a lead will be
@@ -77,8 +77,8 @@
   /// \return the source to ask now, or nothing if none is due
   std::optional<ViewSource> Next(const ViewContacts& aContacts,
                                  Millis aNow) const;
-  /// \return how long to sleep before calling Next() again
-  Millis Pause() const;
+  /// \return interval at which to call Next()
+  Millis CheckInterval() const;
 
   /// Records that a source sent its list.
   /// \param aAsked when the source was asked
--- a/src/include/rillwall/weight_orders.h
+++ b/src/include/rillwall/weight_orders.h
@@ -78,7 +78,7 @@
   /// \return the load targets of a service's models that have a target version
   std::vector<LoadTarget> TargetsOf(const ServiceSpec& aService) const;
   /// \return how many of these replicas load weights by an order of this node
-  size_t LoadingOf(const std::vector<const Replica*>& aReplicas) const;
+  size_t LoadingCount(const std::vector<const Replica*>& aReplicas) const;
   /// \return the smoothed demand of a model, in expected tokens for each step
   double DemandOf(const std::string& aModel) const;
   /// \return whether runs of the model must finish under the version that they
--- a/src/librillwall_coordination/node_directory.cpp
+++ b/src/librillwall_coordination/node_directory.cpp
@@ -34,8 +34,8 @@
                        at->second.mZone != aNode.mZone;
   at->second = {aNode.mTakesClients, aNode.mZone, aNow};
   if (added) {
-    mHosts += aNode.mTakesClients ? 1 : 0;
-    Consider(aNode);
+    mEntryHostCount += aNode.mTakesClients ? 1 : 0;
+    AdvertiseIfSelected(aNode);
   } else if (changed) {
     Rebuild();
   }
@@ -45,9 +45,9 @@
   }
 }
 
-void NodeDirectory::Consider(const NodeEntry& aNode) {
+void NodeDirectory::AdvertiseIfSelected(const NodeEntry& aNode) {
   NodesByHash& advertised =
-      aNode.mTakesClients ? mAdvertisedEntries : mAdvertisedOthers;
+      aNode.mTakesClients ? mAdvertisedEntryHosts : mAdvertisedCandidates;
   const uint64_t hash = HashOf(aNode.mAddress);
   const bool full = advertised.size() >= kMaxAdvertisedPerKind;
   if (full && hash > advertised.rbegin()->first) {
@@ -70,13 +70,13 @@
 }
 
 void NodeDirectory::Rebuild() {
-  mAdvertisedEntries.clear();
-  mAdvertisedOthers.clear();
-  mHosts = 0;
+  mAdvertisedEntryHosts.clear();
+  mAdvertisedCandidates.clear();
+  mEntryHostCount = 0;
   UpdateTag();
   for (const auto& [address, state] : mNodes) {
-    mHosts += state.mTakesClients ? 1 : 0;
-    Consider({address, state.mTakesClients, state.mZone});
+    mEntryHostCount += state.mTakesClients ? 1 : 0;
+    AdvertiseIfSelected({address, state.mTakesClients, state.mZone});
   }
 }
 
@@ -111,7 +111,8 @@
 
 std::vector<NodeEntry> NodeDirectory::Advertised() const {
   std::vector<NodeEntry> nodes;
-  for (const NodesByHash* choice : {&mAdvertisedEntries, &mAdvertisedOthers}) {
+  for (const NodesByHash* choice :
+       {&mAdvertisedEntryHosts, &mAdvertisedCandidates}) {
     for (const auto& [hash, node] : *choice) {
       nodes.push_back(node);
     }
@@ -119,8 +120,9 @@
   return nodes;
 }
 
-size_t NodeDirectory::Hosts() const {
-  return (mHosts + kHostCountStep - 1) / kHostCountStep * kHostCountStep;
+size_t NodeDirectory::EntryHostCount() const {
+  return (mEntryHostCount + kHostCountStep - 1) / kHostCountStep *
+         kHostCountStep;
 }
 
 bool NodeDirectory::Knows(const std::string& aAddress) const {
--- a/src/librillwall_coordination/node_directory_test.cpp
+++ b/src/librillwall_coordination/node_directory_test.cpp
@@ -47,16 +47,16 @@
   }
 
   void HostCountIsRoundedUp() {
-    CPPUNIT_ASSERT_EQUAL(size_t{16}, mNodes.Hosts());
+    CPPUNIT_ASSERT_EQUAL(size_t{16}, mNodes.EntryHostCount());
     for (int i = 0; i < 16; ++i) {
       mNodes.RecordContact({"10.0.1." + std::to_string(i) + ":1", true}, kNow);
       mNodes.RecordContact({"10.0.2." + std::to_string(i) + ":1", false}, kNow);
     }
-    CPPUNIT_ASSERT_EQUAL(size_t{32}, mNodes.Hosts());
+    CPPUNIT_ASSERT_EQUAL(size_t{32}, mNodes.EntryHostCount());
     mNodes.RecordContact(kEntry, kNow + Millis(9000));
-    CPPUNIT_ASSERT_EQUAL(size_t{16}, mNodes.Hosts());
+    CPPUNIT_ASSERT_EQUAL(size_t{16}, mNodes.EntryHostCount());
     mNodes.Adopt({kDisk}, kNow);
-    CPPUNIT_ASSERT_EQUAL(size_t{0}, mNodes.Hosts());
+    CPPUNIT_ASSERT_EQUAL(size_t{0}, mNodes.EntryHostCount());
   }
 
   void SilentNodesAreForgotten() {
--- a/src/librillwall_coordination/view_plan.cpp
+++ b/src/librillwall_coordination/view_plan.cpp
@@ -65,14 +65,14 @@
 
 Millis ViewPlan::AskInterval() const { return mBound * kAskPercent / kPercent; }
 
-Millis ViewPlan::Limit() const {
+Millis ViewPlan::RequestTimeout() const {
   const Millis longest =
       std::max(kMinTimeout, mBound * kTimeoutPercent / kPercent);
   const Millis usual(static_cast<int64_t>(mAnswerMs * kTimeoutFactor));
   return std::clamp(usual, kMinTimeout, longest);
 }
 
-Millis ViewPlan::Pause() const { return kCheckInterval; }
+Millis ViewPlan::CheckInterval() const { return kCheckInterval; }
 
 void ViewPlan::Begin(bool aExpectLead, Millis aNow) {
   if (aExpectLead) {
--- a/src/librillwall_coordination/view_plan_test.cpp
+++ b/src/librillwall_coordination/view_plan_test.cpp
@@ -122,7 +122,7 @@
   }
 
   void TimeOut(Host& aHost) {
-    if (aHost.mAsked && mNow - *aHost.mAsked >= aHost.mPlan.Limit()) {
+    if (aHost.mAsked && mNow - *aHost.mAsked >= aHost.mPlan.RequestTimeout()) {
       aHost.mAsked.reset();
       aHost.mPlan.RecordMiss(ViewSource::Lead, mNow);
       ++mUnanswered;
@@ -261,18 +261,19 @@
 
   void UsualAnswerTimeSetsTheTimeout() {
     ViewPlan plan(kBound, 1);
-    CPPUNIT_ASSERT(plan.Limit() == Millis(300));
+    CPPUNIT_ASSERT(plan.RequestTimeout() == Millis(300));
     for (int i = 0; i < 40; ++i) {
       plan.RecordAnswer(ViewSource::Lead, kStart, Millis(0),
                         kStart + Millis(120));
     }
-    CPPUNIT_ASSERT(plan.Limit() >= Millis(470) && plan.Limit() <= Millis(480));
+    CPPUNIT_ASSERT(plan.RequestTimeout() >= Millis(470) &&
+                   plan.RequestTimeout() <= Millis(480));
     for (int i = 0; i < 40; ++i) {
       plan.RecordAnswer(ViewSource::Lead, kStart, Millis(0),
                         kStart + Millis(500));
     }
     // Two answers must fit into the bound along with everything else.
-    CPPUNIT_ASSERT(plan.Limit() == Millis(600));
+    CPPUNIT_ASSERT(plan.RequestTimeout() == Millis(600));
   }
 
   void OldListLeadsToTheNextSource() {
--- a/src/librillwall_rollout/view_exchange.cpp
+++ b/src/librillwall_rollout/view_exchange.cpp
@@ -376,8 +376,8 @@
   const std::string leadRun =
       Leads(*address) ? mLead.Known()->mRun : std::string();
   const Millis asked = mNode.Now();
-  const Result<HttpResponse> answer =
-      co_await mNode.mClient.Send(*endpoint, std::move(request), mPlan.Limit());
+  const Result<HttpResponse> answer = co_await mNode.mClient.Send(
+      *endpoint, std::move(request), mPlan.RequestTimeout());
   if (!answer || answer->mStatus != kOk) {
     HandleMiss(aSource, *address, answer);
     co_return std::nullopt;
--- a/src/librillwall_rollout/view_subset.cpp
+++ b/src/librillwall_rollout/view_subset.cpp
@@ -125,8 +125,8 @@
   viewRequest.mWantsReplicas = false;
   HttpRequest request;
   request.mTarget = EncodeViewRequest(viewRequest);
-  const Result<HttpResponse> answer =
-      co_await mNode.mClient.Send(*endpoint, std::move(request), mPlan.Limit());
+  const Result<HttpResponse> answer = co_await mNode.mClient.Send(
+      *endpoint, std::move(request), mPlan.RequestTimeout());
   const Result<SharedView> view =
       answer && answer->mStatus == kOk
           ? DecodeView(answer->mBody)
@@ -168,7 +168,7 @@
       mTable == nullptr
           ? 1
           : mNodes.Candidates(mNode.mIdentity.mAddress).size() + 1;
-  return mNodes.Hosts() * subsetSources;
+  return mNodes.EntryHostCount() * subsetSources;
 }
 
 }  // namespace rillwall
--- a/src/librillwall_rollout/weight_orders.cpp
+++ b/src/librillwall_rollout/weight_orders.cpp
@@ -110,7 +110,8 @@
       mNode.mReplicas.OfService(aService.mName);
   const size_t most = LoadsAtOnce(replicas.size());
   const Millis now = mNode.Now();
-  if (LoadingOf(replicas) >= most || now < mPlanPausedUntil[aService.mName]) {
+  if (LoadingCount(replicas) >= most ||
+      now < mPlanPausedUntil[aService.mName]) {
     // The usual case, which returns before any planning.
     return;
   }
@@ -187,7 +188,7 @@
   return wanted;
 }
 
-size_t WeightOrders::LoadingOf(
+size_t WeightOrders::LoadingCount(
     const std::vector<const Replica*>& aReplicas) const {
   const auto loads = [this](const Replica* aReplica) {
     return mLoading.contains(aReplica->mId);
