--- a/src/librillwall_coordination/node_directory.cpp
+++ b/src/librillwall_coordination/node_directory.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 /// Silence after which a node is removed, measured while other nodes make
-/// contact. It covers some five missed questions and a change of the lead; a
+/// contact. It covers some five missed requests and a change of the lead; a
 /// node that is silent longer is gone or cannot reach this one.
 constexpr Millis kForgetAfter{8000};
 constexpr Millis kSweepInterval{1000};
-/// Nodes of each kind that others are told. A node tries two or three of them;
-/// with a dozen, enough remain after the loss of an availability zone and a
-/// quarter of the others.
-constexpr size_t kMaxToldPerKind = 12;
+/// Nodes of each kind that are advertised to others. A node tries two or three
+/// of them; with a dozen, enough remain after the loss of an availability zone
+/// and a quarter of the others.
+constexpr size_t kMaxAdvertisedPerKind = 12;
 /// The number of hosts is rounded up to a multiple of this.
 constexpr size_t kHostCountStep = 16;
 
@@ -34,8 +34,8 @@
                        at->second.mZone != aNode.mZone;
   at->second = {aNode.mTakesClients, aNode.mZone, aNow};
   if (added) {
-    mHosts += aNode.mTakesClients ? 1 : 0;
-    Consider(aNode);
+    mEntryHostCount += aNode.mTakesClients ? 1 : 0;
+    AdvertiseIfSelected(aNode);
   } else if (changed) {
     Rebuild();
   }
@@ -45,16 +45,17 @@
   }
 }
 
-void NodeDirectory::Consider(const NodeEntry& aNode) {
-  NodesByHash& told = aNode.mTakesClients ? mToldEntries : mToldOthers;
+void NodeDirectory::AdvertiseIfSelected(const NodeEntry& aNode) {
+  NodesByHash& advertised =
+      aNode.mTakesClients ? mAdvertisedEntryHosts : mAdvertisedCandidates;
   const uint64_t hash = HashOf(aNode.mAddress);
-  const bool full = told.size() >= kMaxToldPerKind;
-  if (full && hash > told.rbegin()->first) {
+  const bool full = advertised.size() >= kMaxAdvertisedPerKind;
+  if (full && hash > advertised.rbegin()->first) {
     return;
   }
-  told.emplace(hash, aNode);
-  if (told.size() > kMaxToldPerKind) {
-    told.erase(std::prev(told.end()));
+  advertised.emplace(hash, aNode);
+  if (advertised.size() > kMaxAdvertisedPerKind) {
+    advertised.erase(std::prev(advertised.end()));
   }
   UpdateTag();
 }
@@ -69,19 +70,19 @@
 }
 
 void NodeDirectory::Rebuild() {
-  mToldEntries.clear();
-  mToldOthers.clear();
-  mHosts = 0;
+  mAdvertisedEntryHosts.clear();
+  mAdvertisedCandidates.clear();
+  mEntryHostCount = 0;
   UpdateTag();
   for (const auto& [address, state] : mNodes) {
-    mHosts += state.mTakesClients ? 1 : 0;
-    Consider({address, state.mTakesClients, state.mZone});
+    mEntryHostCount += state.mTakesClients ? 1 : 0;
+    AdvertiseIfSelected({address, state.mTakesClients, state.mZone});
   }
 }
 
 void NodeDirectory::UpdateTag() {
   std::string text;
-  for (const NodeEntry& node : Told()) {
+  for (const NodeEntry& node : Advertised()) {
     text += node.mAddress;
     text += node.mTakesClients ? '+' : '-';
     text += node.mZone;
@@ -108,9 +109,10 @@
   return nodes;
 }
 
-std::vector<NodeEntry> NodeDirectory::Told() const {
+std::vector<NodeEntry> NodeDirectory::Advertised() const {
   std::vector<NodeEntry> nodes;
-  for (const NodesByHash* choice : {&mToldEntries, &mToldOthers}) {
+  for (const NodesByHash* choice :
+       {&mAdvertisedEntryHosts, &mAdvertisedCandidates}) {
     for (const auto& [hash, node] : *choice) {
       nodes.push_back(node);
     }
@@ -118,8 +120,9 @@
   return nodes;
 }
 
-size_t NodeDirectory::Hosts() const {
-  return (mHosts + kHostCountStep - 1) / kHostCountStep * kHostCountStep;
+size_t NodeDirectory::EntryHostCount() const {
+  return (mEntryHostCount + kHostCountStep - 1) / kHostCountStep *
+         kHostCountStep;
 }
 
 bool NodeDirectory::Knows(const std::string& aAddress) const {
